--- a/tests/kit.py
+++ b/tests/kit.py
@@ -1,4 +1,4 @@
-"""Shared helpers: a plain map of settings, and a driver that moves one proxy's time by hand."""
+"""Shared helpers of the decision module's tests: a plain map of settings, and a driver with a manual clock."""
 
 from thorndale import interface as io
 from thorndale.policy import Proxy
@@ -19,50 +19,50 @@
     return base | dict(fall_us=1500 * MS) | other
 
 
-class Bench:
-    """One proxy with servers 0.. in pools 0..; time is advanced by hand."""
+class ProxyDriver:
+    """One decision module with a manual clock and one server in each pool: server n in pool n."""
 
     def __init__(self, servers=2, started=0, seed=7, **other):
-        self.now, self.next, self.timers, self.at = 100 * S, 0, [], {}
+        self.now, self.last_call, self.timers, self.server_of = 100 * S, 0, [], {}
         self.proxy = Proxy(seed, settings(**other))
-        self.tell(*[io.Server(s, s, io.SERVING, started) for s in range(servers)], whole=True)
+        self.list_servers(*[io.Server(s, s, io.SERVING, started) for s in range(servers)], whole=True)
 
-    def give(self, *events):
+    def handle(self, *events):
         actions = self.proxy.handle(self.now, list(events))
         self.timers += [a for a in actions if type(a) is io.SetTimer]
-        self.at |= {a.call: a.server for a in actions if type(a) is io.Seize}
+        self.server_of |= {a.call: a.server for a in actions if type(a) is io.Seize}
         for a in [a for a in actions if type(a) is io.Cancel]:
-            self.ended(a.call, self.at[a.call], io.CANCELLED, lag=3 * S, seizure=a.seizure)
+            self.seizure_ended(a.call, self.server_of[a.call], io.CANCELLED, latency=3 * S, seizure=a.seizure)
         return [a for a in actions if type(a) not in (io.SetTimer, io.Log)]
 
-    def tell(self, *entries, whole=False):
-        return self.give(io.Servers(entries, whole, False))
+    def list_servers(self, *entries, whole=False):
+        return self.handle(io.Servers(entries, whole, False))
 
-    def call(self, pool=0, kind=0, key=0, left=3 * S, redial=False, again=False, client=0):
-        self.next += 1
-        return self.give(io.Call(self.next, kind, client, key, left, pool, redial, again))
+    def call(self, pool=0, call_type=0, key=0, answer_within=3 * S, redial=False, reattempt=False, client=0):
+        self.last_call += 1
+        return self.handle(io.Call(self.last_call, call_type, client, key, answer_within, pool, redial, reattempt))
 
-    def later(self, us):
-        """Time passes, with every timer kept; returns all that was done meanwhile."""
-        end, done = self.now + us, []
+    def advance(self, us):
+        """Advances the clock and fires every timer that falls due; returns the actions meanwhile."""
+        end, actions = self.now + us, []
         while due := [t for t in self.timers if t.at_us <= end]:
             first = min(due, key=lambda t: t.at_us)
             self.timers.remove(first)
             self.now = max(self.now, first.at_us)
-            done += self.give(io.Due(first.token))
+            actions += self.handle(io.Due(first.token))
         self.now = end
-        return done
+        return actions
 
-    def stood(self, call, server, lag=60 * MS, seizure=0):
-        return self.give(io.Stood(call, seizure, server, lag))
+    def answered(self, call, server, latency=60 * MS, seizure=0):
+        return self.handle(io.Stood(call, seizure, server, latency))
 
-    def ended(self, call, server, outcome, lag=60 * MS, seizure=0, final=False, wait=0, report=None):
-        return self.give(io.Ended(call, seizure, server, outcome, wait, lag, final, report))
+    def seizure_ended(self, call, server, outcome, latency=60 * MS, seizure=0, final=False, wait=0, report=None):
+        return self.handle(io.Ended(call, seizure, server, outcome, wait, latency, final, report))
 
     def warm(self, calls=20, server=0):
-        """Calls that stand at a server at once and end, half a second apart."""
+        """Calls half a second apart, each answered and ended at once."""
         for _ in range(calls):
             self.call(pool=server)
-            self.stood(self.next, server)
-            self.ended(self.next, server, io.COMPLETED, final=True)
-            self.later(500 * MS)
+            self.answered(self.last_call, server)
+            self.seizure_ended(self.last_call, server, io.COMPLETED, final=True)
+            self.advance(500 * MS)
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -1,5 +1,6 @@
-"""Told nothing by other proxies, the module acts to the last action as it did before it could be told: the actions of
-drawn days' proxies, as one number, against that of the text before (thorndale at "Boxes count the connections")."""
+"""Without leases or peer reports the decision module acts exactly as it did before it supported them. The actions of
+the proxies in random days are hashed and compared with the digests of that earlier version (the commit "Boxes count
+the connections"). Names and values of the actions are hashed, so a renamed action class changes a digest."""
 
 import pytest
 from xxhash import xxh64
@@ -9,7 +10,7 @@
 from thorndale.emulator.day import Day, S, Trouble
 from thorndale.emulator.fleet import Fleet
 
-BEFORE = {
+EXPECTED_DIGESTS = {
     "cold": "c642e9679f646d4d",
     "dead": "2c845e87db570cc4",
     "pressed": "5694ca9e8c6f6299",
@@ -46,28 +47,28 @@
     }[name]
 
 
-def decided(action):
-    """What is decided by an action: without what it tells for counts and logs."""
-    told = {io.Seize: ("first",), io.Reject: ("reason",), io.Fail: ("reason",)}.get(type(action), ())
-    return tuple(value for name, value in zip(action._fields, action, strict=True) if name not in told)
+def decision(action):
+    """The fields of an action that are decisions, without those that only serve counts and logs."""
+    informative = {io.Seize: ("first",), io.Reject: ("reason",), io.Fail: ("reason",)}.get(type(action), ())
+    return tuple(value for name, value in zip(action._fields, action, strict=True) if name not in informative)
 
 
-def number(day, monkeypatch):
+def digest_of(day, monkeypatch):
     digest, take, count = xxh64(), Door.take, [0]
 
-    def seen(door, now):
+    def recorded(door, now):
         actions = take(door, now)
         for action in actions:
             count[0] += 1
-            digest.update(f"{now} {type(action).__name__} {decided(action)}\n".encode())
+            digest.update(f"{now} {type(action).__name__} {decision(action)}\n".encode())
         return actions
 
-    monkeypatch.setattr(Door, "take", seen)
+    monkeypatch.setattr(Door, "take", recorded)
     Fleet(day).run()
     assert count[0] > 5000
     return digest.hexdigest()
 
 
-@pytest.mark.parametrize("name", BEFORE)
+@pytest.mark.parametrize("name", EXPECTED_DIGESTS)
 def test_alone_it_acts_as_before(name, monkeypatch):
-    assert number(day_of(name), monkeypatch) == BEFORE[name]
+    assert digest_of(day_of(name), monkeypatch) == EXPECTED_DIGESTS[name]
--- a/tests/test_chain_decisions.py
+++ b/tests/test_chain_decisions.py
@@ -1,16 +1,16 @@
-"""What the module makes of a call that its server carried on, and of refusals from beyond that server."""
+"""How the decision module treats a call that its server has carried on, and refusals from beyond that server."""
 
 import pytest
-from kit import MS, Bench, S
+from kit import MS, ProxyDriver, S
 
 from thorndale import interface as io
 
 
-def carried_on(lag=60 * MS):
-    bench = Bench()
-    bench.call(0)
-    bench.give(io.Onward(bench.next, 0, 0, lag))
-    return bench
+def carried_on(latency=60 * MS):
+    driver = ProxyDriver()
+    driver.call(0)
+    driver.handle(io.Onward(driver.last_call, 0, 0, latency))
+    return driver
 
 
 def kinds(actions):
@@ -21,53 +21,53 @@
     ("outcome", "answer"), [(io.FULL, io.Reject), (io.EMPTY, io.Reject), (io.FAULTY, io.Fail), (io.BUSY, io.Fail)]
 )
 @pytest.mark.parametrize("marked", [False, True])
-def test_a_refusal_after_the_call_was_carried_on_is_final_and_not_the_servers(outcome, answer, marked):
-    bench = carried_on()
-    actions = bench.give(io.Ended(bench.next, 0, 0, outcome, 2 * S, 3 * S, False, None, marked))
-    proxy = bench.proxy
+def test_a_refusal_after_the_call_was_carried_on_is_final_and_not_counted_against_the_server(outcome, answer, marked):
+    driver = carried_on()
+    actions = driver.handle(io.Ended(driver.last_call, 0, 0, outcome, 2 * S, 3 * S, False, None, marked))
+    proxy = driver.proxy
     assert kinds(actions) == [answer]
     assert (proxy.skip_until[0], proxy.empty_until[0], proxy.score[0], proxy.silent[0]) == (0, 0, 0.0, 0)
-    assert proxy._wait(0) == 0 and proxy.turned_until == 0
+    assert proxy._wait(0) == 0 and proxy.redials_refused_until == 0
     assert sum(proxy.retries[0]) == 0
 
 
-def test_a_marked_refusal_needs_no_earlier_word():
-    bench = Bench()
-    bench.call(0)
-    actions = bench.give(io.Ended(bench.next, 0, 0, io.FULL, 0, 60 * MS, False, None, True))
-    assert kinds(actions) == [io.Reject] and bench.proxy.skip_until[0] == 0
+def test_a_marked_refusal_needs_no_earlier_carried_on_event():
+    driver = ProxyDriver()
+    driver.call(0)
+    actions = driver.handle(io.Ended(driver.last_call, 0, 0, io.FULL, 0, 60 * MS, False, None, True))
+    assert kinds(actions) == [io.Reject] and driver.proxy.skip_until[0] == 0
 
 
 @pytest.mark.parametrize("outcome", [io.RESET, io.UNREACHABLE, io.TIMED_OUT, io.CANCELLED])
-def test_what_is_no_answer_is_the_next_servers_own_whatever_is_said_of_it(outcome):
-    bench = Bench()
-    bench.call(0)
-    actions = bench.give(io.Ended(bench.next, 0, 0, outcome, 0, 2 * S, False, None, True))
+def test_an_outcome_without_an_answer_is_the_next_servers_own_even_if_marked_as_from_beyond(outcome):
+    driver = ProxyDriver()
+    driver.call(0)
+    actions = driver.handle(io.Ended(driver.last_call, 0, 0, outcome, 0, 2 * S, False, None, True))
     assert actions == []
-    assert kinds(bench.later(600 * MS)) == [io.Seize]
-
-
-def test_time_beyond_the_server_is_not_its_wait():
-    bench = carried_on()
-    bench.later(2 * S)
-    assert bench.proxy._wait(0) == 0 and not bench.proxy.out[0]
-    bench.stood(bench.next, 0, lag=2 * S)
-    assert bench.proxy._wait(0) == 0 and bench.proxy.lag[0] == 60 * MS
-    bench.call(0)
-    bench.later(500 * MS)
-    bench.give()
-    assert bench.proxy._wait(0) == 500 * MS  # of one not carried on it is
-
-
-def test_a_retry_starts_anew_and_words_on_other_seizures_change_nothing():
-    bench = Bench()
-    bench.call(0)
-    bench.give(io.Onward(bench.next, 5, 0, 10 * MS))  # no such seizure
-    bench.give(io.Onward(99, 0, 0, 10 * MS))  # no such call
-    assert not bench.proxy.calls[bench.next].onward
-    bench.give(io.Onward(bench.next, 0, 0, 10 * MS))
-    bench.ended(bench.next, 0, io.RESET)
-    assert not bench.proxy.calls[bench.next].onward
-    assert kinds(bench.later(600 * MS)) == [io.Seize]
-    bench.ended(bench.next, 1, io.FULL, seizure=1)
-    assert bench.proxy.skip_until[1] > bench.now
+    assert kinds(driver.advance(600 * MS)) == [io.Seize]
+
+
+def test_time_beyond_the_server_is_not_its_queueing_delay():
+    driver = carried_on()
+    driver.advance(2 * S)
+    assert driver.proxy._wait(0) == 0 and not driver.proxy.out[0]
+    driver.answered(driver.last_call, 0, latency=2 * S)
+    assert driver.proxy._wait(0) == 0 and driver.proxy.last_latency[0] == 60 * MS
+    driver.call(0)
+    driver.advance(500 * MS)
+    driver.handle()
+    assert driver.proxy._wait(0) == 500 * MS  # for a call that was not carried on, it is
+
+
+def test_a_retry_starts_as_not_carried_on_and_events_of_other_seizures_change_nothing():
+    driver = ProxyDriver()
+    driver.call(0)
+    driver.handle(io.Onward(driver.last_call, 5, 0, 10 * MS))  # no such seizure
+    driver.handle(io.Onward(99, 0, 0, 10 * MS))  # no such call
+    assert not driver.proxy.calls[driver.last_call].forwarded
+    driver.handle(io.Onward(driver.last_call, 0, 0, 10 * MS))
+    driver.seizure_ended(driver.last_call, 0, io.RESET)
+    assert not driver.proxy.calls[driver.last_call].forwarded
+    assert kinds(driver.advance(600 * MS)) == [io.Seize]
+    driver.seizure_ended(driver.last_call, 1, io.FULL, seizure=1)
+    assert driver.proxy.skip_until[1] > driver.now
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""A slow plain model of the rules beside the module: both must agree on what is allowed."""
+"""A slow, plain model of the rules checks every action of the decision module in random load."""
 
 import random
 
@@ -8,12 +8,12 @@
 from thorndale import interface as io
 from thorndale.policy import RETRY_FLOOR, RETRY_SHARE, Proxy
 
-LOST = (io.TIMED_OUT, io.RESET, io.CANCELLED)
-BAD = (io.FULL, io.EMPTY, io.BUSY, io.FAULTY, io.RESET, io.UNREACHABLE, io.TIMED_OUT)
+RELEASED_OUTCOMES = (io.TIMED_OUT, io.RESET, io.CANCELLED)
+FAILURES = (io.FULL, io.EMPTY, io.BUSY, io.FAULTY, io.RESET, io.UNREACHABLE, io.TIMED_OUT)
 
 
 class Model:
-    """Knows each call's whole history; asserts the rules on every action, the budget by counting anew."""
+    """Keeps each call's whole history; asserts the rules on every action, and recounts the retry budget each time."""
 
     def __init__(self, conf):
         self.conf, self.calls, self.state, self.firsts, self.sends = conf, {}, {}, [], []
@@ -26,7 +26,7 @@
     def ended(self, now, event):
         call = self.calls[event.call]
         call["out"], call["over"] = None, call["over"] or event.final
-        if event.outcome in LOST:
+        if event.outcome in RELEASED_OUTCOMES:
             call["free_at"] = now + self.conf["release_us"]
 
     def acted(self, now, action):
@@ -38,16 +38,16 @@
         if type(action) is not io.Seize:
             call["over"] = True
             return
-        assert call["out"] is None and call["sent"] < 3, "two seizures out, or too many"
-        assert now >= call["free_at"], "the release was not awaited"
-        assert self.state[action.server] == io.SERVING, "sent to a server that leaves"
+        assert call["out"] is None and call["sent"] < 3, "two seizures in flight, or too many"
+        assert now >= call["free_at"], "the retry did not wait for the release"
+        assert self.state[action.server] == io.SERVING, "sent to a draining or gone server"
         assert 0 < action.timeout_us <= call["due"] - now
         if call["sent"]:
             self.sends.append((now, action.server))
-            # Granted a drawn wait and a release before it is sent at most: the window is so much wider.
+            # A retry is granted up to one backoff and release time before it is sent: the bounds are wider by that.
             retries = sum(1 for at, s in self.sends if s == action.server and at > now - 9 * S)
             firsts = sum(1 for at, s in self.firsts if s == action.server and at > now - 11 * S)
-            assert retries <= max(RETRY_FLOOR, RETRY_SHARE * firsts) + 1, "the budget was passed over"
+            assert retries <= max(RETRY_FLOOR, RETRY_SHARE * firsts) + 1, "the retry budget was exceeded"
         elif not call["redial"]:
             self.firsts.append((now, action.server))
         call["out"], call["sent"] = (call["sent"], action.server), call["sent"] + 1
@@ -64,13 +64,14 @@
     )
     proxy, twin, model = Proxy(seed, conf), Proxy(seed, conf), Model(conf)
     now, number, timers, due = 50 * S, 0, [], []  # due: (when, event)
-    lots, loss, end = rand.uniform(2, 20), rand.choice([0.02, 0.3, 0.8]), now + 40 * S
-    bads = rand.choice([BAD, (io.EMPTY,)])  # no line: neither press nor failure, all is retried
+    arrival_rate, loss, end = rand.uniform(2, 20), rand.choice([0.02, 0.3, 0.8]), now + 40 * S
+    # No free line is neither overload nor failure: all calls are retried.
+    failures = rand.choice([FAILURES, (io.EMPTY,)])
     servers = {s: [s % 3, io.SERVING, 0] for s in range(rand.randint(1, 4))}
     batch = [io.Servers(tuple(io.Server(s, *figures) for s, figures in servers.items()), True, True)]
     model.state = {s: io.SERVING for s in servers}
     while now < end or not all(c["over"] for c in model.calls.values()):
-        while rand.random() < lots * 0.005 and now < end:
+        while rand.random() < arrival_rate * 0.005 and now < end:
             number += 1
             left, redial = rand.randrange(50, 3600) * MS, rand.random() < 0.2
             batch.append(
@@ -114,8 +115,8 @@
             if type(action) is io.Cancel:
                 due.append((now, io.Ended(*action, call["out"][1], io.CANCELLED, 0, lag, False, None)))
             elif type(action) is io.Seize:
-                seizure, bad = call["sent"] - 1, rand.choice(bads)
-                end_of = io.Ended(action.call, seizure, action.server, bad, 0, lag, False, None)
+                seizure, failure = call["sent"] - 1, rand.choice(failures)
+                end_of = io.Ended(action.call, seizure, action.server, failure, 0, lag, False, None)
                 if rand.random() < loss or lag >= action.timeout_us:
                     late = end_of.outcome == io.TIMED_OUT or lag > action.timeout_us
                     lag = action.timeout_us if late else lag
--- a/thorndale/interface.py
+++ b/thorndale/interface.py
@@ -1,41 +1,42 @@
-"""What goes into the decision module and what comes out of it. Types only, no logic, no wire.
+"""Events that the decision module (thorndale/policy.py) takes and actions that it returns. Types only: no logic and no
+wire format.
 
-Times are whole microseconds on the caller's clock, which only ever advances. Calls, servers, call types and
-clients are small indices given out by whoever hosts the module. `None` stands for 'not told'.
+Times are whole microseconds on the host's clock, which never goes back. Calls, servers, call types and clients are
+small indices assigned by the host of the module. `None` means 'not reported'.
 """
 
 from enum import StrEnum
 from typing import NamedTuple
 
-# States of a server in the list.
+# States of a server in the server list.
 SERVING, DRAINING, GONE = 0, 1, 2
 
-# How a seizure ended.
-# BUSY: all lines of the number are engaged; FAULTY: a signalling fault; FULL: the processor is full;
-# EMPTY: the pool has no free line.
+# Outcomes of a seizure.
+# BUSY: all lines of the called number are engaged. FAULTY: answered with a signalling error. FULL: the server's
+# processor is at capacity. EMPTY: no line is free.
 COMPLETED, BUSY, FULL, TIMED_OUT, UNREACHABLE, RESET, CANCELLED, NOT_SENT, FAULTY, EMPTY = range(10)
 
 
 class Server(NamedTuple):
-    """One entry of the list of servers."""
+    """One entry of the server list."""
 
     server: int
     pool: int
     state: int
-    started_us: int  # 0: long ago
+    started_us: int  # start of its process; 0: long ago
 
 
 class Report(NamedTuple):
-    """What a server said of itself; None where it said nothing."""
+    """A server's load report; None where it reports nothing."""
 
-    free: float | None
-    lines: float | None
-    wait_us: int | None
+    free: float | None  # free lines
+    lines: float | None  # all lines
+    wait_us: int | None  # queueing delay at its processor
     rate: float | None  # new set-ups a second that it can take from all proxies
 
 
 class Servers(NamedTuple):
-    """The list, whole or as changes. `disk` marks the copy kept over a restart."""
+    """The server list, `whole` or as changes. `disk` marks the copy that was stored across a restart."""
 
     entries: tuple
     whole: bool
@@ -43,23 +44,25 @@
 
 
 class ListFailed(NamedTuple):
-    """Asking for the list has failed; what was known stays in force."""
+    """A request for the server list has failed; the last list stays in force."""
 
 
 class Call(NamedTuple):
-    """A call was handed to this proxy, which owes it one final answer within left_us."""
+    """A call has arrived at this proxy, which owes it one final answer within left_us."""
 
     call: int
     call_type: int
     client: int
-    key: int
+    key: int  # by which a redial of the same call is recognised; 0: none
     left_us: int
     pool: int  # first choice
     redial: bool
-    again: bool  # it stood and was cut, and comes once more
+    again: bool  # it was answered and then cut, and is set up anew
 
 
 class Stood(NamedTuple):
+    """The server has answered a seizure: the call is established."""
+
     call: int
     seizure: int
     server: int
@@ -67,8 +70,8 @@
 
 
 class Onward(NamedTuple):
-    """The server has done its own part of a set-up and carries the call on: what the seizure waits for from now on lies
-    beyond that server."""
+    """The server has done its own part of a set-up and carries the call on: from now on the seizure waits for
+    those beyond that server."""
 
     call: int
     seizure: int
@@ -77,14 +80,14 @@
 
 
 class Ended(NamedTuple):
-    """The one end of a seizure. `final`: the call has its answer already. `beyond`: the server carried the call on, and
-    the refusal arose further down, where the proxy next to it has made what retries there may be."""
+    """The end of a seizure, reported once. `final`: the call already has its final answer. `beyond`: the server carried
+    the call on and the refusal arose further downstream, where the proxy next to it has made any retries."""
 
     call: int
     seizure: int
     server: int
     outcome: int
-    wait_us: int  # a wait named by a full processor, else 0
+    wait_us: int  # queueing delay reported by a full processor, else 0
     lag_us: int
     final: bool
     report: Report | None
@@ -92,19 +95,19 @@
 
 
 class Left(NamedTuple):
-    """The caller has left; nothing more is owed."""
+    """The caller has abandoned the call; no final answer is owed."""
 
     call: int
 
 
 class Due(NamedTuple):
-    """A timer has fallen due."""
+    """A timer that SetTimer armed has fired."""
 
     token: int
 
 
 class Seen(NamedTuple):
-    """A report that came outside a seizure."""
+    """A load report that came outside a seizure. `asked`: in answer to a request."""
 
     server: int
     report: Report
@@ -119,21 +122,21 @@
 
 
 class Right(NamedTuple):
-    """The fleet's answer to an Ask: until when the retry may go, 0 for not at all."""
+    """The fleet's answer to an Ask: the retry lease, valid until `until_us`; 0 if it is refused."""
 
     call: int
     until_us: int
 
 
 class Word(NamedTuple):
-    """What other proxies say of a server, weighed: log odds that it has failed, 0 for nothing said."""
+    """Weighed failure reports of other proxies on a server: log odds that it has failed; 0 if there are none."""
 
     server: int
     odds: float
 
 
 class Seize(NamedTuple):
-    """`first`: a first set-up, which the budget counts."""
+    """Seize a line at a server for the call. `first`: a first set-up, which widens the retry budget."""
 
     call: int
     server: int
@@ -142,8 +145,8 @@
 
 
 class Ask(NamedTuple):
-    """A retry that this proxy's own budget grants waits for a right of the fleet's, to go out at `resume_us`. Only
-    where the setting `fleet_rights` says so; each is answered by a Right."""
+    """Request a retry lease from the fleet, for a retry within this proxy's own budget that is due at `resume_us`. Only
+    with the setting `fleet_rights`; each is answered by a Right."""
 
     call: int
     server: int
@@ -151,12 +154,14 @@
 
 
 class Cancel(NamedTuple):
+    """Cancel a seizure in flight."""
+
     call: int
     seizure: int
 
 
 class Reason(StrEnum):
-    """Why a call is given back: for logs, nothing is decided on it."""
+    """Why a call is given back. For logs only: no decision depends on it."""
 
     UNSAID = ""
     TOO_MANY_OPEN = "as many calls are open as may be"
@@ -175,7 +180,7 @@
 
 
 class Reject(NamedTuple):
-    """Final answer: turned away, to come back after comeback_us (0: nothing said)."""
+    """Final answer: rejected for now; the caller may come back after comeback_us (0: none announced)."""
 
     call: int
     comeback_us: int
@@ -183,7 +188,7 @@
 
 
 class Fail(NamedTuple):
-    """Final answer: given up."""
+    """Final answer: the call has failed."""
 
     call: int
     reason: Reason = Reason.UNSAID
@@ -199,4 +204,4 @@
 
 
 class Follow(NamedTuple):
-    """Ask for the list's changes from now on, where they do not come unasked."""
+    """Subscribe to changes of the server list, where they do not come unrequested."""
