--- a/tests/call/test_chained.py
+++ b/tests/call/test_chained.py
@@ -26,7 +26,7 @@
     assert statuses(answers) == [100, 503] and not again
     assert answers[-1].get("reason") == "Q.850;cause=42;location=BI"
     module = rig.border.door.module
-    assert module.skip_until[0] == 0 and module.wait[0] == 0 and module.score[0] == 0
+    assert module.skip_until[0] == 0 and module.queue_delay[0] == 0 and module.failure_log_odds[0] == 0
 
 
 def test_a_servers_own_refusal_is_retried_elsewhere():
@@ -67,7 +67,7 @@
     told, handle = [], rig.border.door.module.handle
 
     def watched(now, events):
-        told.extend(e for e in events if type(e) is io.Onward)
+        told.extend(e for e in events if type(e) is io.Forwarded)
         return handle(now, events)
 
     rig.border.door.module.handle = watched
@@ -82,9 +82,9 @@
     rig.run(30_000)
     rig.answer(invite, 181)
     rig.answer(invite, 181)
-    assert [e.lag_us for e in told][:1] == [30_000]
+    assert [e.latency_us for e in told][:1] == [30_000]
     rig.run(900_000)
-    assert module._wait(0) == 0  # 930 ms without an answer, and none of it the server's
+    assert module._expected_delay(0) == 0  # 930 ms without an answer, and none of it the server's
     rig.answer(invite, 503, extra=OWN)  # unmarked, but after it was carried on
     assert statuses(rig.take(CALLER))[-1] == 503
     assert module.skip_until[0] == 0
--- a/tests/emulator/test_chains.py
+++ b/tests/emulator/test_chains.py
@@ -6,7 +6,7 @@
 from thorndale import interface as io
 from thorndale.emulator.chain import FAILING, Caller, Chain, ChainPlan
 from thorndale.emulator.day import S
-from thorndale.policy import SEIZURES, Proxy
+from thorndale.policy import MAX_SEIZURES, Proxy
 
 SERVE, FULL, FAULTY = "serve", "full", "faulty"
 OUTCOMES = {FULL: io.FULL, FAULTY: io.FAULTY}
@@ -62,9 +62,9 @@
     found = list(play.breaks)
     if play.stands + len(play.refusals) != 1:
         found.append("one final answer")
-    if any(count > SEIZURES for count in play.setups_at[1:]):
+    if any(count > MAX_SEIZURES for count in play.setups_at[1:]):
         found.append("set-ups at a hop within one proxy's")
-    if sum(play.setups_at) > depth - 1 + SEIZURES + (SEIZURES - 1) * (depth - 1):
+    if sum(play.setups_at) > depth - 1 + MAX_SEIZURES + (MAX_SEIZURES - 1) * (depth - 1):
         found.append("set-ups of the whole chain")
     if len(script) == 1 and not play.stands:
         found.append("one refusal with other servers idle is got over")
@@ -101,18 +101,18 @@
 class Deaf(Proxy):
     """A module that does not heed the marks."""
 
-    def _onward(self, event):
+    def _on_forwarded(self, event):
         pass
 
-    def _ended(self, event):
-        super()._ended(event._replace(beyond=False))
+    def _on_seizure_ended(self, event):
+        super()._on_seizure_ended(event._replace(beyond=False))
 
 
 class RetriesBeyond(Proxy):
     """A module that goes again after a refusal from further down."""
 
-    def _ended(self, event):
-        super()._ended(event)
+    def _on_seizure_ended(self, event):
+        super()._on_seizure_ended(event)
         held = self.calls.get(event.call)
         if held and held.want in ("reject", "fail"):
             held.want = "again"
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_words.py
@@ -8,7 +8,7 @@
 from thorndale.fleet import wire
 from thorndale.fleet.wire import Word
 from thorndale.fleet.words import FORGET_US, HALF_US, TELL_US, WEIGHT, WEIGHT_LEAST, Words
-from thorndale.policy import FAILED_AT
+from thorndale.policy import FAILED_LOG_ODDS
 
 IDS, SERVERS = list(range(100, 120)), [7, 8, 9, 10]
 
@@ -27,11 +27,11 @@
     words = Words(IDS, 0, SERVERS, 1, 0)
     for n in range(30):
         words.heard(n * S, [word(1)])
-    assert odds(words, 30 * S) <= WEIGHT < FAILED_AT
+    assert odds(words, 30 * S) <= WEIGHT < FAILED_LOG_ODDS
     words.heard(30 * S, [word(2)])
-    assert odds(words, 30 * S) < FAILED_AT
+    assert odds(words, 30 * S) < FAILED_LOG_ODDS
     words.heard(30 * S, [word(3)])
-    assert odds(words, 30 * S) >= FAILED_AT and words.changed[-1][0] == 0
+    assert odds(words, 30 * S) >= FAILED_LOG_ODDS and words.changed[-1][0] == 0
     assert odds(words, 30 * S + HALF_US) == pytest.approx(odds(words, 30 * S) / 2, rel=0.2)
     assert odds(words, 31 * S + FORGET_US) == 0 and not words.busy and words.next_at() > 1 << 60
 
@@ -39,7 +39,7 @@
 def test_an_own_answer_stands_over_all_hearsay_and_lessens_its_tellers():
     words = Words(IDS, 0, SERVERS, 1, 0)
     words.heard(S, [word(n) for n in range(1, 9)])
-    assert odds(words, S) >= FAILED_AT
+    assert odds(words, S) >= FAILED_LOG_ODDS
     words.met(2 * S, 0, True, False, 2 * S)
     assert odds(words, 2 * S) == 0
     assert [w.good for w in words.going] == [] and words.weight[IDS[1]][0] == WEIGHT / 2
@@ -47,7 +47,7 @@
         words.heard(n * S, [word(t) for t in range(1, 9)])
         words.met(n * S + S // 2, 0, True, False, n * S + S // 2)
     words.heard(30 * S, [word(t) for t in range(1, 9)])
-    assert odds(words, 30 * S) < FAILED_AT / 2 and words.weight[IDS[1]][0] >= WEIGHT_LEAST
+    assert odds(words, 30 * S) < FAILED_LOG_ODDS / 2 and words.weight[IDS[1]][0] >= WEIGHT_LEAST
     assert words._weight(30 * S + 5 * FORGET_US, IDS[1]) == WEIGHT  # and are believed again, minutes later
 
 
@@ -89,7 +89,7 @@
 def test_a_new_process_voids_what_was_said_of_the_former_one():
     words = Words(IDS, 0, SERVERS, 1, 0)
     words.heard(S, [word(n) for n in range(1, 9)])
-    assert odds(words, S) >= FAILED_AT
+    assert odds(words, S) >= FAILED_LOG_ODDS
     words.began(0, 1000)
     assert words.known[0].told == 0 and words.changed[-1] == (0, 0.0)
     words.heard(2 * S, [word(n) for n in range(1, 9)])  # of the former one
--- a/tests/kit.py
+++ b/tests/kit.py
@@ -49,15 +49,15 @@
             first = min(due, key=lambda t: t.at_us)
             self.timers.remove(first)
             self.now = max(self.now, first.at_us)
-            actions += self.handle(io.Due(first.token))
+            actions += self.handle(io.TimerFired(first.token))
         self.now = end
         return actions
 
     def answered(self, call, server, latency=60 * MS, seizure=0):
-        return self.handle(io.Stood(call, seizure, server, latency))
+        return self.handle(io.Answered(call, seizure, server, latency))
 
     def seizure_ended(self, call, server, outcome, latency=60 * MS, seizure=0, final=False, wait=0, report=None):
-        return self.handle(io.Ended(call, seizure, server, outcome, wait, latency, final, report))
+        return self.handle(io.SeizureEnded(call, seizure, server, outcome, wait, latency, final, report))
 
     def warm(self, calls=20, server=0):
         """Calls half a second apart, each answered and ended at once."""
--- a/tests/platform/platform_rig.py
+++ b/tests/platform/platform_rig.py
@@ -210,7 +210,7 @@
         for event in self.told:
             if type(event) is io.Call:
                 serial[event.call] = serial.get(event.call, 0) + 1
-            elif type(event) is io.Ended:
+            elif type(event) is io.SeizureEnded:
                 key = event.call, serial[event.call], event.seizure
                 found[key] = found.get(key, 0) + 1
         return found
--- a/tests/platform/test_ends.py
+++ b/tests/platform/test_ends.py
@@ -22,7 +22,7 @@
 
 
 def ended(rig):
-    return [e for e in rig.told if type(e) is io.Ended]
+    return [e for e in rig.told if type(e) is io.SeizureEnded]
 
 
 def releases(rig, call):
@@ -112,7 +112,7 @@
     assert 400 <= int(invite.fields["Answer-Within"]) <= 500
     rig.later(30 * MS)
     rig.answer(key, invite)
-    assert [e.lag_us for e in rig.told if type(e) is io.Stood] == [30 * MS]
+    assert [e.latency_us for e in rig.told if type(e) is io.Answered] == [30 * MS]
 
 
 def test_a_set_up_that_an_ending_connection_does_not_take_was_not_sent():
--- a/tests/platform/test_platform_border.py
+++ b/tests/platform/test_platform_border.py
@@ -64,7 +64,7 @@
     rig.setup()
     key, invite = rig.last_invite()
     rig.answer(key, invite, status, extra=f"Fail-Word: {note}\r\nLink-State: x0:12;x1:40;latency_ms:3\r\n")
-    ended = [e for e in rig.told if type(e) is io.Ended]
+    ended = [e for e in rig.told if type(e) is io.SeizureEnded]
     assert [e.outcome for e in ended] == [outcome] and ended[0].report == io.Report(12.0, 40.0, 3000, None)
     assert rig.sent[key][-1].method == "ACK"
     if outcome == io.BUSY:
@@ -135,7 +135,9 @@
     key, invite = rig.last_invite()
     rig.release(call)
     assert rig.sent[key][-1].method == "CANCEL" and "c" not in rig.got
-    assert [type(e) for e in rig.told][-2:] == [io.Left, io.Ended] and rig.told[-1].outcome == io.CANCELLED
+    assert [type(e) for e in rig.told][-2:] == [io.CallerAbandoned, io.SeizureEnded] and rig.told[
+        -1
+    ].outcome == io.CANCELLED
     rig.answer(key, invite)
     assert "c" not in rig.got and len(rig.core.door) == 0
     call = rig.setup()
@@ -183,7 +185,7 @@
         rig.setup()
     open_before = {k: len(link.out) for k, link in rig.core.links.items()}
     rig.signal(key, b"SIP/9.9 OK 200\r\n\r\n")
-    resets = [e for e in rig.told if type(e) is io.Ended and e.outcome == io.RESET]
+    resets = [e for e in rig.told if type(e) is io.SeizureEnded and e.outcome == io.RESET]
     assert len(resets) == open_before[key] and key not in rig.core.links and rig.core.standing() == 1
     rig.later(100 * MS)
     rig.up()
@@ -208,7 +210,7 @@
         rig.setup()
         key = next(key for key, link in rig.core.links.items() if link.out)
         rig.do("server_lost", key, kind)
-        assert [e.outcome for e in rig.told if type(e) is io.Ended] == [io.UNREACHABLE]
+        assert [e.outcome for e in rig.told if type(e) is io.SeizureEnded] == [io.UNREACHABLE]
 
 
 def test_one_lost_connection_ends_no_call_and_a_refused_one_after_it_does():
@@ -499,7 +501,7 @@
     links = [k for k, link in rig.core.links.items() if link.central.name == "s-0000000a"]
     for key in links:
         rig.signal(key, text)
-    assert len(links) > 1 and sum(type(e) is io.Seen for e in rig.told) == 1
+    assert len(links) > 1 and sum(type(e) is io.ServerReport for e in rig.told) == 1
 
 
 def test_what_is_given_up_is_told_when_to_come_back():
@@ -538,6 +540,6 @@
     key, invite = rig.last_invite()
     rig.answer(key, invite, 181)
     rig.answer(key, invite, 503, extra="Fail-Word: throttled\r\nReason: Q.850;cause=42;location=BI\r\n")
-    ends = [e for e in rig.told if type(e) is io.Ended]
+    ends = [e for e in rig.told if type(e) is io.SeizureEnded]
     assert [(e.outcome, e.beyond) for e in ends] == [(io.FULL, False)]
-    assert not any(type(e) is io.Onward for e in rig.told)
+    assert not any(type(e) is io.Forwarded for e in rig.told)
--- a/tests/platform/test_platform_rules.py
+++ b/tests/platform/test_platform_rules.py
@@ -170,7 +170,7 @@
     for call in model.crossed:
         assert model.answers[call] == [isup.ANSWER, isup.RELEASE], "a release lost with its connection"
     assert set(rig.ends().values()) <= {1} and len(rig.core.door) == len(rig.core.calls)
-    assert all(type(e) is not io.Ended or e.lag_us >= 0 for e in rig.told)
+    assert all(type(e) is not io.SeizureEnded or e.latency_us >= 0 for e in rig.told)
 
 
 @pytest.mark.parametrize("seed", range(25))
--- a/tests/sites/test_sites.py
+++ b/tests/sites/test_sites.py
@@ -253,7 +253,7 @@
         return self.tell(io.Call(self.calls, call_type, 0, self.calls, 3 * S, pool, redial, False))
 
     def end(self, outcome, server, final=False, lag=0, call=None):
-        return self.tell(io.Ended(call or self.calls, 0, server, outcome, 0, lag, final, None))
+        return self.tell(io.SeizureEnded(call or self.calls, 0, server, outcome, 0, lag, final, None))
 
     def darken(self):
         for _ in range(20):
@@ -267,8 +267,8 @@
 
 def test_a_call_goes_to_its_own_site_and_once_that_is_dark_to_the_next():
     rig = Rig()
-    assert rig.call() == [io.Seize(1, 0, rig.core.module.calls[1].last - rig.now, True)]
-    rig.tell(io.Stood(1, 0, 0, 20_000))
+    assert rig.call() == [io.Seize(1, 0, rig.core.module.calls[1].deadline - rig.now, True)]
+    rig.tell(io.Answered(1, 0, 0, 20_000))
     assert rig.call(pool=2)[0].server == 2
     rig.darken()
     rig.call()
@@ -278,8 +278,8 @@
 
 def test_what_the_module_sent_nowhere_is_offered_to_the_next_site_and_what_it_sent_is_not():
     rig = Rig()
-    rig.tell(io.Seen(0, io.Report(0, 100, 0, None), False))  # told empty: the module has no room at site 0
-    rig.tell(io.Seen(0, io.Report(0, 100, 0, None), False), after=S)
+    rig.tell(io.ServerReport(0, io.Report(0, 100, 0, None), False))  # told empty: the module has no room at site 0
+    rig.tell(io.ServerReport(0, io.Report(0, 100, 0, None), False), after=S)
     seen = [action for _ in range(30) for action in rig.call()]
     assert {a.server for a in seen if type(a) is io.Seize} - {0}
     other = Rig()
@@ -340,30 +340,32 @@
                 if chance.random() < 0.6 and call in owed:
                     owed.pop(call)
                     standing.add((call, server))
-                    act(rig.tell(io.Stood(call, rig.core.module.calls[call].out, server, 30_000)))
+                    act(rig.tell(io.Answered(call, rig.core.module.calls[call].seizure, server, 30_000)))
                 else:
                     held = rig.core.module.calls.get(call)
                     outcome = chance.choice((io.FULL, io.EMPTY, io.RESET, io.UNREACHABLE, io.TIMED_OUT))
                     act(
                         rig.tell(
-                            io.Ended(call, held.out if held else 0, server, outcome, 0, 2 * S, call not in owed, None)
+                            io.SeizureEnded(
+                                call, held.seizure if held else 0, server, outcome, 0, 2 * S, call not in owed, None
+                            )
                         )
                     )
             elif draw_ < 0.85 and standing:
                 call, server = standing.pop()
                 outcome = io.COMPLETED if chance.random() < 0.7 else io.RESET
-                act(rig.tell(io.Ended(call, 0, server, outcome, 0, 0, True, None)))
+                act(rig.tell(io.SeizureEnded(call, 0, server, outcome, 0, 0, True, None)))
             elif draw_ < 0.9:
                 server = chance.randrange(3)
                 state = chance.choice((io.SERVING, io.SERVING, io.DRAINING, io.GONE))
                 (serving.add if state == io.SERVING else serving.discard)(server)
                 act(rig.tell(io.Servers((io.Server(server, server, state, 0),), False, False)))
             else:
-                act(rig.tell(io.Due(0), after=chance.randrange(1, S)))
-        act(rig.tell(io.Due(0), after=20 * S))
+                act(rig.tell(io.TimerFired(0), after=chance.randrange(1, S)))
+        act(rig.tell(io.TimerFired(0), after=20 * S))
         assert not owed
         for call, server in list(out.items()):
-            rig.tell(io.Ended(call, 0, server, io.CANCELLED, 0, 0, True, None))
+            rig.tell(io.SeizureEnded(call, 0, server, io.CANCELLED, 0, 0, True, None))
         for call, server in standing:
-            rig.tell(io.Ended(call, 0, server, io.COMPLETED, 0, 0, True, None))
+            rig.tell(io.SeizureEnded(call, 0, server, io.COMPLETED, 0, 0, True, None))
         assert not rig.core.calls and rig.core.standing == [0, 0]
--- a/tests/standins/broken.py
+++ b/tests/standins/broken.py
@@ -55,9 +55,9 @@
     """No server is ever taken for cold, failed, slow or full."""
     from thorndale.policy import Proxy
 
-    Proxy._cold = lambda self, s: False
-    Proxy._has_room = lambda self, s: True
-    Proxy._open = lambda self, s: 1.0
+    Proxy._is_cold = lambda self, s: False
+    Proxy._is_usable = lambda self, s: True
+    Proxy._admitted_fraction = lambda self, s: 1.0
 
 
 if __name__ == "__main__":
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -49,7 +49,7 @@
         assert fail_first_setup(driver, io.UNREACHABLE) == []
         driver.advance(60 * MS)
         driver.answered(driver.last_call, 1, seizure=1)
-        driver.proxy.score[0] = 0.0
+        driver.proxy.failure_log_odds[0] = 0.0
     refused = fail_first_setup(driver, io.UNREACHABLE)
     assert kinds(refused) == [io.Reject] and 0 < refused[0].comeback_us <= 2 * S
 
@@ -61,7 +61,7 @@
 
 
 def test_a_call_given_back_unsent_says_why():
-    assert final(ProxyDriver(0).call()) == io.Reason.NO_ROOM
+    assert final(ProxyDriver(0).call()) == io.Reason.NO_CAPACITY
     assert final(ProxyDriver(open_max=1).call()) == io.Reason.TOO_MANY_OPEN
     driver = ProxyDriver(1)
     driver.proxy.redials_refused_until = driver.now + S
@@ -70,7 +70,7 @@
 
 def test_a_call_given_back_after_an_attempt_says_why():
     assert final(fail_first_setup(ProxyDriver(), io.BUSY)) == io.Reason.SERVER_REFUSED
-    assert final(fail_first_setup(ProxyDriver(seizures_max=1), io.FULL)) == io.Reason.MOST_ATTEMPTS
+    assert final(fail_first_setup(ProxyDriver(seizures_max=1), io.FULL)) == io.Reason.ATTEMPTS_EXHAUSTED
     driver = ProxyDriver()
     driver.proxy.retries[1][driver.proxy._roll_window(1)] = RETRY_FLOOR
     assert final(fail_first_setup(driver, io.FULL)) == io.Reason.BUDGET_SPENT
@@ -80,7 +80,7 @@
     assert final(driver.seizure_ended(driver.last_call, 0, io.RESET)) == io.Reason.RETRY_TOO_LATE
     driver = ProxyDriver()
     driver.call(answer_within=600 * MS)
-    assert final(driver.advance(S)) == io.Reason.TIME_IS_UP
+    assert final(driver.advance(S)) == io.Reason.DEADLINE_PASSED
 
 
 def test_a_call_given_back_while_its_retry_waits_says_why():
@@ -89,8 +89,8 @@
     driver.list_servers(io.Server(1, 1, io.DRAINING, 0))
     assert final(driver.advance(S)) == io.Reason.RETRY_BARRED
     driver = ProxyDriver(fleet_rights=True)
-    assert kinds(fail_first_setup(driver, io.TIMED_OUT)) == [io.Ask]
-    assert final(driver.handle(io.Right(driver.last_call, 0))) == io.Reason.NO_RIGHT
+    assert kinds(fail_first_setup(driver, io.TIMED_OUT)) == [io.RequestLease]
+    assert final(driver.handle(io.RetryLease(driver.last_call, 0))) == io.Reason.NO_LEASE
 
 
 def test_full_server_is_skipped_and_all_skipped_means_first_choice():
@@ -107,9 +107,9 @@
 
 def test_a_server_reported_without_free_lines_is_avoided_until_it_reports_some():
     driver = ProxyDriver()
-    driver.handle(io.Seen(0, io.Report(0, 10, None, None), False))
+    driver.handle(io.ServerReport(0, io.Report(0, 10, None, None), False))
     assert driver.call(0)[0].server == 1
-    driver.handle(io.Seen(0, io.Report(1, 10, None, None), False))
+    driver.handle(io.ServerReport(0, io.Report(1, 10, None, None), False))
     assert driver.call(0)[0].server == 0
 
 
@@ -143,7 +143,7 @@
     fleet = [ProxyDriver(1, seed=n + 1, instances=proxies) for n in range(proxies)]
     for driver in fleet:
         for _ in range(15):
-            driver.handle(io.Seen(0, io.Report(9000 - 10 * pool_takes, 9000, None, None), False))
+            driver.handle(io.ServerReport(0, io.Report(9000 - 10 * pool_takes, 9000, None, None), False))
             driver.advance(S)
         driver.list_servers(io.Server(0, 0, io.SERVING, driver.now))
     return fleet
@@ -170,7 +170,7 @@
         driver.advance(12 * S)  # the skip is over and the observed delay has decayed
     seized = [a.server for _ in range(4) for a in driver.call(0) if type(a) is io.Seize]
     assert seized.count(0) == 1  # the trial
-    driver.answered(next(iter(driver.proxy.out[0])), 0)
+    driver.answered(next(iter(driver.proxy.in_flight[0])), 0)
     driver.advance(100 * MS)
     assert driver.call(0)[0].server == 0
 
@@ -209,9 +209,9 @@
     driver.call()
     driver.advance(900 * MS)
     driver.handle()
-    assert driver.proxy._wait(0) >= 900 * MS
+    assert driver.proxy._expected_delay(0) >= 900 * MS
     driver.proxy._record_queue_delay(0, 10 * MS, driver.now - 100 * MS)  # a report: set-ups sent before it were lost
-    assert driver.proxy._wait(0) <= 10 * MS
+    assert driver.proxy._expected_delay(0) <= 10 * MS
 
 
 def test_a_server_that_loses_answers_but_gives_later_ones_keeps_its_load():
@@ -222,10 +222,10 @@
         driver.advance(200 * MS)
         if n % 3:
             driver.answered(driver.last_call, 0)
-    assert driver.proxy.loss[0] > 0.1 and driver.proxy.score[0] < 4
+    assert driver.proxy.loss_fraction[0] > 0.1 and driver.proxy.failure_log_odds[0] < 4
     driver.call()
     driver.advance(900 * MS)
-    assert driver.proxy._wait(0) < 100 * MS  # one unanswered set-up is no evidence of a queue now
+    assert driver.proxy._expected_delay(0) < 100 * MS  # one unanswered set-up is no evidence of a queue now
 
 
 def test_a_server_with_errors_on_half_its_calls_stays_in_use_and_one_with_errors_on_all_does_not():
@@ -240,7 +240,7 @@
             else:
                 driver.seizure_ended(driver.last_call, 0, io.FAULTY, latency=10 * MS)
             driver.advance(200 * MS)
-            failing += driver.proxy.score[0] >= 4
+            failing += driver.proxy.failure_log_odds[0] >= 4
         assert (failing > 30) == failed
 
 
@@ -254,7 +254,7 @@
         else:
             driver.answered(driver.last_call, driver.server_of[driver.last_call])
         driver.advance(30 * MS)
-        failing += driver.proxy.score[0] >= 4
+        failing += driver.proxy.failure_log_odds[0] >= 4
     assert failing == 0
 
 
@@ -295,8 +295,8 @@
             driver.answered(driver.last_call, driver.server_of[driver.last_call])
         driver.advance(1200 * MS)
         driver.seizure_ended(lost, 0, io.TIMED_OUT, latency=1300 * MS)
-    assert driver.proxy.score[0] == 0 and driver.proxy.skip_until[0] <= driver.now
-    assert 0 < driver.proxy.loss[0] < 0.5
+    assert driver.proxy.failure_log_odds[0] == 0 and driver.proxy.skip_until[0] <= driver.now
+    assert 0 < driver.proxy.loss_fraction[0] < 0.5
 
 
 def test_calls_held_back_for_queueing_delay_do_not_raise_the_line_demand():
@@ -310,25 +310,25 @@
         for _ in range(5):
             driver.call()
         report_free_lines(driver, 100)
-    assert driver.proxy.line_demand[0] <= 2 * before and driver.proxy.part[0] == 1.0
+    assert driver.proxy.line_demand[0] <= 2 * before and driver.proxy.line_fraction[0] == 1.0
 
 
 def test_a_new_report_of_zero_wait_counts_though_the_last_one_was_zero_too():
     driver = ProxyDriver(1)
     for free, wait in ((100, 0), (99, 0)):
-        driver.handle(io.Seen(0, io.Report(free, 200, wait, None), False))
+        driver.handle(io.ServerReport(0, io.Report(free, 200, wait, None), False))
         driver.advance(S)
     driver.proxy._record_queue_delay(0, 1200 * MS, driver.now)
     driver.advance(S)
-    driver.handle(io.Seen(0, io.Report(99, 200, 0, None), False))  # a repeated report may be an old one
-    assert driver.proxy._wait(0) >= 900 * MS
-    driver.handle(io.Seen(0, io.Report(98, 200, 0, None), False))
-    assert driver.proxy._wait(0) == 0
+    driver.handle(io.ServerReport(0, io.Report(99, 200, 0, None), False))  # a repeated report may be an old one
+    assert driver.proxy._expected_delay(0) >= 900 * MS
+    driver.handle(io.ServerReport(0, io.Report(98, 200, 0, None), False))
+    assert driver.proxy._expected_delay(0) == 0
 
 
 def report_free_lines(driver, free, lines=200, server=0):
     driver.advance(S)
-    driver.handle(io.Seen(server, io.Report(free, lines, None, None), False))
+    driver.handle(io.ServerReport(server, io.Report(free, lines, None, None), False))
 
 
 def test_few_free_lines_get_only_a_fraction_of_the_calls():
@@ -350,8 +350,8 @@
     driver.answered(driver.last_call, 0)
     driver.advance(2 * S)
     fail_first_setup(driver, io.EMPTY)
-    assert driver.proxy._wait(0) <= 60 * MS and driver.proxy.empty_until[0] > driver.now
-    driver.handle(io.Seen(0, io.Report(1, 10, None, None), False))
+    assert driver.proxy._expected_delay(0) <= 60 * MS and driver.proxy.empty_until[0] > driver.now
+    driver.handle(io.ServerReport(0, io.Report(1, 10, None, None), False))
     assert driver.proxy.empty_until[0] == 0
 
 
@@ -361,7 +361,7 @@
     driver.call()
     driver.now += 2 * S  # no timer fired meanwhile
     driver.answered(driver.last_call, 0, latency=2 * S)
-    assert driver.proxy._wait(0) < 100 * MS
+    assert driver.proxy._expected_delay(0) < 100 * MS
 
 
 def test_an_unresponsive_server_gets_ever_fewer_trials_and_a_new_process_starts_clean():
@@ -373,7 +373,9 @@
         driver.advance(100 * MS)
     assert 3 <= len(tried) <= 10 and tried[-1] - tried[-2] >= 8 * S
     driver.list_servers(io.Server(0, 0, io.SERVING, driver.now))
-    assert driver.proxy._wait(0) == 0 and not driver.proxy.out[0] and driver.proxy.score[0] == 0
+    assert (
+        driver.proxy._expected_delay(0) == 0 and not driver.proxy.in_flight[0] and driver.proxy.failure_log_odds[0] == 0
+    )
 
 
 def test_calls_cut_one_by_one_leave_a_server_in_use_and_many_at_once_do_not():
@@ -385,7 +387,7 @@
         for call in range(driver.last_call - 3, driver.last_call + 1):
             driver.advance(gap)
             driver.seizure_ended(call, 0, io.RESET, final=True)
-        assert (driver.proxy.score[0] >= 4) == failed
+        assert (driver.proxy.failure_log_odds[0] >= 4) == failed
 
 
 # ---- several servers in one pool ----
@@ -418,16 +420,16 @@
 
 def test_a_pool_of_one_server_uses_no_random_draw_for_the_round_robin():
     normal, plain = ProxyDriver(2, seed=3), ProxyDriver(2, seed=3)
-    plain.proxy._in_turn = lambda pool: plain.proxy.by_pool.get(pool, ())
-    plain.proxy._pass_turn = plain.proxy._weigh = lambda *arguments: None
+    plain.proxy._round_robin = lambda pool: plain.proxy.by_pool.get(pool, ())
+    plain.proxy._charge_turn = plain.proxy._update_weight = lambda *arguments: None
     for driver in (normal, plain):
         for n in range(30):
             complete_call(driver)
-            driver.handle(io.Seen(n % 2, io.Report(5, 10, n * MS, None), False))
+            driver.handle(io.ServerReport(n % 2, io.Report(5, 10, n * MS, None), False))
     assert (
         normal.proxy.random_state == plain.proxy.random_state
         and normal.proxy.turn_credit == [None, None]
-        and normal.proxy.share == [1.0, 1.0]
+        and normal.proxy.weight == [1.0, 1.0]
     )
 
 
@@ -455,7 +457,7 @@
 
 
 def report_wait(driver, server, wait):
-    driver.handle(io.Seen(server, io.Report(None, None, wait, None), False))
+    driver.handle(io.ServerReport(server, io.Report(None, None, wait, None), False))
 
 
 def test_a_server_found_busy_more_often_gets_a_smaller_weight_that_fades():
@@ -464,7 +466,7 @@
         driver.advance(500 * MS)
         report_wait(driver, 0, 20 * MS + n if n % 10 < 9 else 0)  # busy in nine samples of ten
         report_wait(driver, 1, 20 * MS + n if n % 10 < 3 else n % 3)
-    share = driver.proxy.share
+    share = driver.proxy.weight
     assert 3 * share[0] < share[1], share
     sent = [complete_call(driver) for _ in range(200)]
     expected = share[0] / sum(share)
@@ -473,10 +475,10 @@
     sent = [complete_call(driver) for _ in range(200)]
     assert 95 <= sent.count(0) <= 105, sent.count(0)
     report_wait(driver, 0, 7)
-    assert 0.85 < driver.proxy.share[0] < 1.2
-    driver.proxy.share[1] = 3.0
+    assert 0.85 < driver.proxy.weight[0] < 1.2
+    driver.proxy.weight[1] = 3.0
     driver.list_servers(io.Server(1, 0, io.SERVING, driver.now))  # a new process
-    assert driver.proxy.share[1] == 1.0
+    assert driver.proxy.weight[1] == 1.0
 
 
 def test_a_weight_is_bounded_and_not_learned_from_a_cold_server():
@@ -485,13 +487,13 @@
         report_wait(driver, 0, 900 * MS + n)
         report_wait(driver, 1, n % 2)
         driver.advance(200 * MS)
-    assert driver.proxy.share == [1.0, 1.0]
+    assert driver.proxy.weight == [1.0, 1.0]
     driver.advance(20 * S)
     for n in range(4000):
         report_wait(driver, 0, 900 * MS + n)
         report_wait(driver, 1, n % 2)
         driver.advance(200 * MS)
-    assert driver.proxy.share[0] >= 0.25 and driver.proxy.share[1] <= 4.0
+    assert driver.proxy.weight[0] >= 0.25 and driver.proxy.weight[1] <= 4.0
 
 
 def test_fast_errors_attract_no_calls():
@@ -517,14 +519,14 @@
     for n in range(100):
         driver = one_pool(2, seed=n + 1, instances=100)
         for _ in range(15):  # the pool takes 40 set-ups a second
-            driver.handle(io.Seen(0, io.Report(9000 - 400, 9000, None, None), False))
+            driver.handle(io.ServerReport(0, io.Report(9000 - 400, 9000, None, None), False))
             driver.advance(S)
         driver.list_servers(io.Server(1, 0, io.SERVING, driver.now))
         fleet.append(driver)
     for _ in range(40):  # 4 s with 2 calls a second at each
         for driver in fleet:
             driver.advance(100 * MS)
-            if driver.proxy._chance() < 0.2:
+            if driver.proxy._random() < 0.2:
                 sent[complete_call(driver)] += 1
     most = 40 * (0.28 + 0.72 * 4 / 14) * 4  # what may be sent while it warms
     assert 0.1 * most < sent[1] < most, (sent, most)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,7 +20,12 @@
 
     def called(self, now, event):
         self.calls[event.call] = dict(
-            due=now + event.left_us, out=None, sent=0, free_at=0, over=False, redial=event.redial or event.again
+            due=now + event.answer_within_us,
+            out=None,
+            sent=0,
+            free_at=0,
+            over=False,
+            redial=event.redial or event.reattempt,
         )
 
     def ended(self, now, event):
@@ -93,13 +98,13 @@
             started = now if state == io.SERVING and rand.random() < 0.5 else servers[s][2]
             servers[s][1:] = state, started
             batch.append(io.Servers((io.Server(s, *servers[s]),), False, False))
-        batch += [io.Due(t.token) for t in timers if t.at_us <= now]
+        batch += [io.TimerFired(t.token) for t in timers if t.at_us <= now]
         timers = [t for t in timers if t.at_us > now]
         for event in [e for at, e in due if at <= now]:
             call = model.calls[event.call]
             if call["out"] is None or call["out"][0] != event.seizure:
                 continue
-            if type(event) is io.Stood:
+            if type(event) is io.Answered:
                 call["over"] = True
             else:
                 event = event._replace(final=event.final or call["over"])
@@ -113,16 +118,16 @@
             model.acted(now, action)
             call, lag = model.calls[action.call], rand.randrange(20, 1500) * MS
             if type(action) is io.Cancel:
-                due.append((now, io.Ended(*action, call["out"][1], io.CANCELLED, 0, lag, False, None)))
+                due.append((now, io.SeizureEnded(*action, call["out"][1], io.CANCELLED, 0, lag, False, None)))
             elif type(action) is io.Seize:
                 seizure, failure = call["sent"] - 1, rand.choice(failures)
-                end_of = io.Ended(action.call, seizure, action.server, failure, 0, lag, False, None)
+                end_of = io.SeizureEnded(action.call, seizure, action.server, failure, 0, lag, False, None)
                 if rand.random() < loss or lag >= action.timeout_us:
                     late = end_of.outcome == io.TIMED_OUT or lag > action.timeout_us
                     lag = action.timeout_us if late else lag
-                    due.append((now + lag, end_of._replace(lag_us=lag)))
+                    due.append((now + lag, end_of._replace(latency_us=lag)))
                 else:
-                    due.append((now + lag, io.Stood(action.call, end_of.seizure, action.server, lag)))
+                    due.append((now + lag, io.Answered(action.call, end_of.seizure, action.server, lag)))
                     report = io.Report(3, 9, lag, 20.0)
                     done = end_of._replace(outcome=io.COMPLETED, final=True, report=report)
                     due.append((now + lag + S, done))
--- a/thorndale/adapter/door.py
+++ b/thorndale/adapter/door.py
@@ -92,7 +92,7 @@
             server = self.server(f.need(fields, "server", f.whole))
             lag = f.need(fields, "lagMs", f.micros)
             if name == "UNDER_WAY":
-                return None if index is None else ours.Stood(index, seizure, server, lag)
+                return None if index is None else ours.Answered(index, seizure, server, lag)
             code = f.need(fields, "code", f.string)
             if code not in OUTCOMES:
                 raise f.InputError(f"unknown outcome code {code[:40]!r}")
@@ -104,22 +104,22 @@
             self.out[index] -= 1
             wait = (cause >> 4) * 1000 if code == "saturated" and cause & 15 == 3 else 0
             outcome = TOLD.get((code, cause & 15), OUTCOMES[code])
-            event = ours.Ended(index, seizure, server, outcome, wait, lag, final, report)
+            event = ours.SeizureEnded(index, seizure, server, outcome, wait, lag, final, report)
             if final:
                 self.over[index] = True
             return event
         if name == "VANISHED":
             index = self.calls.get(f.need(fields, "tid", f.whole))
-            return None if index is None else ours.Left(index)
+            return None if index is None else ours.CallerAbandoned(index)
         if name == "DEADLINE_HIT":
-            return ours.Due(f.need(fields, "ctx", f.whole))
+            return ours.TimerFired(f.need(fields, "ctx", f.whole))
         if name == "SAMPLED":
             server = f.need(fields, "server", f.whole)
             code = f.need(fields, "code", f.string)
             lag = f.maybe(fields, "lagMs", f.micros, 0)
             if server not in self.servers or code != "completed" or "stats" not in fields:
                 return None
-            return ours.Seen(self.servers[server], self.report(fields["stats"]), lag > 0)
+            return ours.ServerReport(self.servers[server], self.report(fields["stats"]), lag > 0)
         if name == "UPDATE":
             form = f.need(fields, "form", f.string)
             if form == "error":
@@ -132,14 +132,14 @@
             entries = tuple(ours.Server(self.server(s), pool, state, started) for s, pool, state, started in lists[ref])
             return ours.Servers(entries, form != "diff", form == "disk")
         if name == "MEMO":
-            return ours.Told(f.need(fields, "srcPeer", f.whole), f.need(fields, "bytes", f.octets))
+            return ours.PeerMessage(f.need(fields, "srcPeer", f.whole), f.need(fields, "bytes", f.octets))
         raise f.InputError(f"unknown event {name[:40]!r}")
 
     def after(self, event):
         """Called when the module has had the batch: forget what is over."""
-        if type(event) is ours.Left:
+        if type(event) is ours.CallerAbandoned:
             self.over[event.call] = True
-        if type(event) in (ours.Left, ours.Ended) and self.call_ids[event.call] is not None:
+        if type(event) in (ours.CallerAbandoned, ours.SeizureEnded) and self.call_ids[event.call] is not None:
             self._settle(event.call)
 
     def line(self, proxy, action):
@@ -157,7 +157,7 @@
             return frames.line("REMIND", proxy=proxy, momentMs=frames.ms(action.at_us), ctx=action.token)
         if kind is ours.Log:
             return frames.line("NOTE_DOWN", proxy=proxy, reasonText=action.text)
-        if kind is ours.Follow:
+        if kind is ours.SubscribeList:
             return frames.line("FOLLOW", proxy=proxy, active=1)
         tid = self.call_ids[action.call]
         if kind is ours.Cancel:
--- a/thorndale/call/border.py
+++ b/thorndale/call/border.py
@@ -302,7 +302,7 @@
     def due(self, now, name):
         if name == "module":
             self.module_timer = None
-            self.door.tell(io.Due(0))
+            self.door.tell(io.TimerFired(0))
         elif name == "records":
             self.record_timer = None
         elif name == "sweep":
@@ -336,12 +336,12 @@
                         self.module_timer = self.timers.set(action.at_us, self, "module")
                 elif kind is io.Log:
                     self.say("info", "module", text=self._named(action.text))
-                elif kind is io.Follow:
+                elif kind is io.SubscribeList:
                     if self.book is not None and not self.stopping:
                         self.book.follow(now)
                 else:
                     call = door.calls[action.call]
-                    if kind is io.Ask:
+                    if kind is io.RequestLease:
                         self.share.ask(now, action)
                     elif kind is io.Seize:
                         if self.share:
--- a/thorndale/call/call.py
+++ b/thorndale/call/call.py
@@ -1,6 +1,6 @@
 """A call's life: set up as the module decides, standing, released.
 
-    setting up --Stood--> standing --BYE, cut, no ACK--> releasing --all BYEs answered--> over
+    setting up --Answered--> standing --BYE, cut, no ACK--> releasing --all BYEs answered--> over
     setting up --Reject, Fail, CANCEL, caller lost--> answering --its record is safe--> over
 
 What is decided while the caller's answer waits for its record is carried out behind it: no BYE goes before the 200.
@@ -147,7 +147,7 @@
         lag = seizure.lag(now) if seizure.sent_at else 0
         number, server = seizure.number, seizure.server
         self.told.append((server, outcome, seizure.sent_at, lag))
-        self.border.door.tell(io.Ended(self.index, number, server, outcome, wait_us, lag, final, report, beyond))
+        self.border.door.tell(io.SeizureEnded(self.index, number, server, outcome, wait_us, lag, final, report, beyond))
 
     # ---- being set up: what the seizure tells ----
 
@@ -155,9 +155,9 @@
         """A provisional response; 100 stays on its leg."""
         report = report_of(message, self.border.load_header, self.border.instances)
         if report is not None:
-            self.border.door.tell(io.Seen(seizure.server, report, False))
+            self.border.door.tell(io.ServerReport(seizure.server, report, False))
         if message.status == FORWARDED and self.border.chained and seizure.state == "out":
-            self.border.door.tell(io.Onward(self.index, seizure.number, seizure.server, seizure.lag(now)))
+            self.border.door.tell(io.Forwarded(self.index, seizure.number, seizure.server, seizure.lag(now)))
         if message.status > 100 and self.state == "setting up":
             extra = passed(message, self.border.load_header)
             extra.append(("Contact", self.border.contact(self.tx.hop)))
@@ -168,8 +168,8 @@
         border = self.border
         report = report_of(message, border.load_header, border.instances)
         if report is not None:
-            border.door.tell(io.Seen(seizure.server, report, False))
-        border.door.tell(io.Stood(self.index, seizure.number, seizure.server, seizure.lag(now)))
+            border.door.tell(io.ServerReport(seizure.server, report, False))
+        border.door.tell(io.Answered(self.index, seizure.number, seizure.server, seizure.lag(now)))
         self.state, self.stood_at = "standing", now
         invite = self.tx.message
         self.legs[BOX] = dialog
@@ -222,7 +222,7 @@
         if self.state != "setting up":
             return
         self.owed = False
-        self.border.door.tell(io.Left(self.index))
+        self.border.door.tell(io.CallerAbandoned(self.index))
         if self.seizure is not None and self.seizure.state == "out":
             self.seizure.give_up(now)
             self._told(now, io.CANCELLED, True)
@@ -338,7 +338,7 @@
     def _tell_end(self, now, outcome):
         self.owed = False
         lag = now - self.stood_at
-        self.border.door.tell(io.Ended(self.index, self.seizures - 1, self.server, outcome, 0, lag, True, None))
+        self.border.door.tell(io.SeizureEnded(self.index, self.seizures - 1, self.server, outcome, 0, lag, True, None))
 
     def _bye(self, now, side, extra):
         self.byes += 1
--- a/thorndale/call/tally.py
+++ b/thorndale/call/tally.py
@@ -6,7 +6,7 @@
 """
 
 from thorndale.interface import SERVING
-from thorndale.policy import FAILED_AT
+from thorndale.policy import FAILED_LOG_ODDS
 
 SPAN_S = 10
 
@@ -34,7 +34,7 @@
             why = reason(module, server, now)
             counts = self.counts.get(server)
             if counts or why:
-                share = round(module.share[server], 3) if server < len(module.share) else 1.0
+                share = round(module.weight[server], 3) if server < len(module.weight) else 1.0
                 rows.append([name, self.groups[server], counts or [0] * SPAN_S, share, why])
         self.counts = {}
         return self.first, rows
@@ -44,14 +44,14 @@
     """Why a server gets less than its turns, as the module has it now."""
     if server >= len(module.state) or module.state[server] != SERVING:
         return "not serving"
-    if module.score[server] >= FAILED_AT:
+    if module.failure_log_odds[server] >= FAILED_LOG_ODDS:
         return "failed"
-    if module.empty_until[server] > now or module.free[server] == 0:
+    if module.empty_until[server] > now or module.free_lines[server] == 0:
         return "no line"
     if module.skip_until[server] > now:
         return "skipped"
-    if module._cold(server):
+    if module._is_cold(server):
         return "cold"
-    if module.open[server] < 1:
+    if module.processor_fraction[server] < 1:
         return "busy"
-    return "few lines" if module.part[server] < 1 else ""
+    return "few lines" if module.line_fraction[server] < 1 else ""
--- a/thorndale/emulator/chain.py
+++ b/thorndale/emulator/chain.py
@@ -264,11 +264,11 @@
             for action in door.take(self.now):
                 if type(action) is io.SetTimer:
                     self._after(max(1, action.at_us - self.now), self._timer, proxy)
-                elif type(action) not in (io.Log, io.Follow):
+                elif type(action) not in (io.Log, io.SubscribeList):
                     self._act(door.calls[action.call], action)
 
     def _timer(self, proxy):
-        proxy.door.tell(io.Due(0))
+        proxy.door.tell(io.TimerFired(0))
         self._flush(proxy)
 
     def _act(self, leg, action):
@@ -302,7 +302,9 @@
             return
         self._send(self._cancelled, seizure)
         lag_us = self.now - leg.due
-        ended = io.Ended(leg.index, seizure.number, seizure.server.number, outcome, 0, lag_us, leg.answered, None)
+        ended = io.SeizureEnded(
+            leg.index, seizure.number, seizure.server.number, outcome, 0, lag_us, leg.answered, None
+        )
         self._tell(leg, ended)
 
     def _refuse(self, leg, harmless, comeback_us):
@@ -357,7 +359,7 @@
     def _carried_on(self, seizure):
         leg = seizure.leg
         if leg.out is seizure:
-            self._tell(leg, io.Onward(leg.index, seizure.number, seizure.server.number, self.now - leg.due))
+            self._tell(leg, io.Forwarded(leg.index, seizure.number, seizure.server.number, self.now - leg.due))
 
     def _cancelled(self, seizure):
         seizure.ended = True
@@ -365,7 +367,7 @@
         if onward is None or onward.index < 0:
             return
         onward.answered = True  # none is owed any more
-        self._tell(onward, io.Left(onward.index))
+        self._tell(onward, io.CallerAbandoned(onward.index))
         if onward.out is not None:
             self._give_up(onward, io.CANCELLED)
         self._forget(onward)
@@ -393,7 +395,9 @@
         lag_us = self.now - leg.due
         beyond = self._marked(leg, origin_hop)
         number = seizure.server.number
-        ended = io.Ended(leg.index, seizure.number, number, outcome, wait_us, lag_us, leg.answered, report, beyond)
+        ended = io.SeizureEnded(
+            leg.index, seizure.number, number, outcome, wait_us, lag_us, leg.answered, report, beyond
+        )
         self._tell(leg, ended)
 
     def _marked(self, leg, origin_hop):
@@ -412,7 +416,7 @@
         if leg.answered:
             self._broke("two answers")
         leg.answered = True
-        self._tell(leg, io.Stood(leg.index, seizure.number, seizure.server.number, self.now - leg.due))
+        self._tell(leg, io.Answered(leg.index, seizure.number, seizure.server.number, self.now - leg.due))
         if leg.onward_of is None:
             self._caller_answered(leg.caller)
             self._after(leg.caller.hold_us, self._over, seizure)
@@ -430,7 +434,7 @@
             if leg.index >= 0:
                 report = seizure.server.report(self.now) if self.plan.reports else None
                 number = seizure.server.number
-                self._tell(leg, io.Ended(leg.index, seizure.number, number, io.COMPLETED, 0, 0, True, report))
+                self._tell(leg, io.SeizureEnded(leg.index, seizure.number, number, io.COMPLETED, 0, 0, True, report))
                 self._forget(leg)
             seizure = seizure.onward.out if seizure.onward is not None else None
 
@@ -443,5 +447,5 @@
             self._send(self._seen, proxy, server.number, report)
 
     def _seen(self, proxy, number, report):
-        proxy.door.tell(io.Seen(number, report, False))
+        proxy.door.tell(io.ServerReport(number, report, False))
         self._flush(proxy)
--- a/thorndale/emulator/fleet.py
+++ b/thorndale/emulator/fleet.py
@@ -208,18 +208,18 @@
                 sharing.met(host, before)
             for action in actions:
                 kind = type(action)
-                if kind is io.Ask:
+                if kind is io.RequestLease:
                     sharing.ask(host, action)
                     continue
                 if kind is io.Seize and sharing:
                     sharing.seized(host, action)
                 if kind is io.SetTimer:
                     self._at(max(action.at_us, self.now + 1), self._timer, host)
-                elif kind is not io.Log and kind is not io.Follow:
+                elif kind is not io.Log and kind is not io.SubscribeList:
                     self._act(host, door.calls[action.call], action, kind)
 
     def _timer(self, host):
-        host.door.tell(io.Due(0))
+        host.door.tell(io.TimerFired(0))
         self._flush(host)
 
     def _act(self, host, held, action, kind):
@@ -282,7 +282,7 @@
         held.out = None
         self._tell(
             held,
-            io.Ended(
+            io.SeizureEnded(
                 held.index, seizure[0], seizure[1], outcome, 0, 0, held.answered, self._report(self.servers[seizure[1]])
             ),
         )
@@ -314,7 +314,7 @@
         if server.site != caller.origin:
             self.spilled[min(len(self.spilled) - 1, self.now // S)] += 1
         self._credit(caller, caller.earned)
-        self._tell(held, io.Stood(held.index, seizure[0], server.number, int(answered_at - held.due)))
+        self._tell(held, io.Answered(held.index, seizure[0], server.number, int(answered_at - held.due)))
 
     def _drop(self, held, server):
         if server.standing.pop(held, None) is not None:
@@ -334,7 +334,9 @@
         held.server = None
         if outcome == io.RESET:
             self._credit(held.caller, -held.caller.earned)
-        self._tell(held, io.Ended(held.index, seizure[0], server.number, outcome, 0, 0, True, self._report(server)))
+        self._tell(
+            held, io.SeizureEnded(held.index, seizure[0], server.number, outcome, 0, 0, True, self._report(server))
+        )
         self._release(held)
 
     def _late(self, held, seizure, sent_at):
@@ -346,7 +348,9 @@
         if seizure is None:
             return
         self._drop(held, self.servers[seizure[1]])
-        self._tell(held, io.Ended(held.index, seizure[0], seizure[1], outcome, 0, self.now - held.due, final, None))
+        self._tell(
+            held, io.SeizureEnded(held.index, seizure[0], seizure[1], outcome, 0, self.now - held.due, final, None)
+        )
 
     def _report(self, server):
         if not server.up():
@@ -459,7 +463,7 @@
                 self._after(late, self._seen, host, server.number, report)
 
     def _seen(self, host, number, report):
-        host.door.tell(io.Seen(number, report, False))
+        host.door.tell(io.ServerReport(number, report, False))
         if host.until <= self.now:
             self._flush(host)
 
--- a/thorndale/emulator/ways.py
+++ b/thorndale/emulator/ways.py
@@ -10,66 +10,66 @@
 
 
 class _Way(Proxy):
-    def _pass_turn(self, s, fit):
+    def _charge_turn(self, s, fit):
         pass
 
     def _drawn(self, servers):
         """All of them, in an order drawn by a fresh key for each."""
-        return sorted(servers, key=lambda s: self._chance())
+        return sorted(servers, key=lambda s: self._random())
 
 
 class ListOrder(_Way):
     """The order of the list: what the module did before it dealt."""
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         return self.by_pool.get(pool, ())
 
 
 class Even(_Way):
     """Drawn evenly."""
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         return self._drawn(self.by_pool.get(pool, ()))
 
 
 class TwoOwn(_Way):
     """Two drawn, the better by own calls out (Mitzenmacher 2001; Vvedenskaya, Dobrushin and Karpelevich 1996)."""
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         drawn = self._drawn(self.by_pool.get(pool, ()))
-        return sorted(drawn[:2], key=lambda s: len(self.out[s])) + drawn[2:]
+        return sorted(drawn[:2], key=lambda s: len(self.in_flight[s])) + drawn[2:]
 
 
 class TwoTold(_Way):
     """Two drawn, the better by the wait last told (Mitzenmacher 2000 on old information)."""
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         drawn = self._drawn(self.by_pool.get(pool, ()))
         return sorted(drawn[:2], key=self._told) + drawn[2:]
 
     def _told(self, s):
-        return self.told[s].wait_us if self.told[s] else 0
+        return self.last_report[s].wait_us if self.last_report[s] else 0
 
 
 class LeastTold(TwoTold):
     """The least told wait of all: the known herd."""
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         return sorted(self._drawn(self.by_pool.get(pool, ())), key=self._told)
 
 
 class Drawn(_Way):
     """Drawn by the learned shares, each call alone."""
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         servers = self.by_pool.get(pool, ())
-        return sorted(servers, key=lambda s: -(max(self._chance(), 1e-9) ** (1 / self.share[s])))
+        return sorted(servers, key=lambda s: -(max(self._random(), 1e-9) ** (1 / self.weight[s])))
 
 
 class Dealt(Proxy):
     """Dealt, as the module does, but without learning shares."""
 
-    def _weigh(self, s, wait):
+    def _update_weight(self, s, wait):
         pass
 
 
@@ -80,10 +80,10 @@
 
     number = 0
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         servers = self.by_pool.get(pool, ())
         if len(servers) <= SUBSET:
-            return super()._in_turn(pool)
+            return super()._round_robin(pool)
         places = len(servers) // SUBSET
         rounds, place = divmod(self.number, places)
         state, order = rounds * 2654435761 + 97, list(servers)
@@ -92,7 +92,7 @@
             other = (state >> 33) % (n + 1)
             order[n], order[other] = order[other], order[n]
         own = set(order[place * SUBSET : (place + 1) * SUBSET])
-        return sorted(super()._in_turn(pool), key=lambda s: s not in own)
+        return sorted(super()._round_robin(pool), key=lambda s: s not in own)
 
 
 class Queues(_Way):
@@ -100,7 +100,7 @@
 
     servers = ()
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         def until(s):
             processor = self.servers[s].processor
             work = processor.work.setup_us * processor.slowness / processor.warmth(self.now)
--- a/thorndale/fleet/share.py
+++ b/thorndale/fleet/share.py
@@ -51,19 +51,21 @@
         if self.words is None:
             return []
         return [
-            (e, module.score[e.server])
+            (e, module.failure_log_odds[e.server])
             for e in events
-            if type(e) in (io.Stood, io.Ended) and e.server < len(module.score)
+            if type(e) in (io.Answered, io.SeizureEnded) and e.server < len(module.failure_log_odds)
         ]
 
     def met(self, now, before, module):
         """The module has been told those events: what it holds a loss is one, and what it does not may be an answer."""
         for event, score in before:
-            if type(event) is io.Ended and event.outcome == io.FAULTY:  # an answer, and the caller's fault as often
+            if (
+                type(event) is io.SeizureEnded and event.outcome == io.FAULTY
+            ):  # an answer, and the caller's fault as often
                 continue
-            answered = type(event) is io.Stood or event.outcome in ANSWERED
-            lost = module.score[event.server] > score
-            self.words.met(now, event.server, answered and not lost, lost, now - event.lag_us)
+            answered = type(event) is io.Answered or event.outcome in ANSWERED
+            lost = module.failure_log_odds[event.server] > score
+            self.words.met(now, event.server, answered and not lost, lost, now - event.latency_us)
 
     def began(self, server, mark):
         if self.words:
@@ -75,10 +77,10 @@
     def events(self):
         found = []
         if self.rights and self.rights.told:
-            found += [io.Right(call, until) for call, until in self.rights.told]
+            found += [io.RetryLease(call, until) for call, until in self.rights.told]
             self.rights.told = []
         if self.words and self.words.changed:
-            found += [io.Word(server, odds) for server, odds in self.words.changed]
+            found += [io.PeerFailureReport(server, odds) for server, odds in self.words.changed]
             self.words.changed = []
         return found
 
--- a/thorndale/fleet/words.py
+++ b/thorndale/fleet/words.py
@@ -2,7 +2,7 @@
 
 A proxy that has lost a set-up at a server tells three others, who tell three each; so all know of a dead server after
 a few losses in the whole fleet, where each alone needs two of its own. What is heard adds log odds to the module's
-own test (`interface.Word`), and these are its bounds:
+own test (`interface.PeerFailureReport`), and these are its bounds:
 - each teller counts once a server, by at most WEIGHT, half as much every HALF_US: three tellers at least shut a
   server;
 - a word counts only while it is newer than the last answer to this proxy itself, and than the last answer that any
@@ -25,7 +25,7 @@
 """
 
 from thorndale.fleet.wire import WORDS_MOST, Word
-from thorndale.policy import FAILED_AT
+from thorndale.policy import FAILED_LOG_ODDS
 
 WEIGHT, WEIGHT_LEAST = 1.5, 0.1  # log odds of one teller at most, at least: three are needed, and no more than that
 HALF_US = 10_000_000  # us in which a word loses half: the design's window
@@ -176,7 +176,7 @@
             known.lost = {t: at for t, at in known.lost.items() if at > now - FORGET_US}
             odds = self._odds(now, known)
             part = TICK_US / TRIAL_US / max(1, self.alive)
-            if odds >= FAILED_AT and known.open_until <= now and self._chance() < part:
+            if odds >= FAILED_LOG_ODDS and known.open_until <= now and self._chance() < part:
                 known.open_until = now + OPEN_US
                 self.count["trials"] += 1
             self._note(server, 0.0 if known.open_until > now else odds)
@@ -188,11 +188,11 @@
 
     def _note(self, server, odds):
         known = self.known[server]
-        over = (odds >= FAILED_AT) != (known.told >= FAILED_AT) or (odds == 0) != (known.told == 0)
+        over = (odds >= FAILED_LOG_ODDS) != (known.told >= FAILED_LOG_ODDS) or (odds == 0) != (known.told == 0)
         if over or abs(odds - known.told) >= STEP:
             known.told = odds
             self.changed.append((server, odds))
 
     def view(self):
         """For the log: servers whose hearsay shuts them here, by index, and counts."""
-        return [n for n, known in enumerate(self.known) if known.told >= FAILED_AT], dict(self.count)
+        return [n for n, known in enumerate(self.known) if known.told >= FAILED_LOG_ODDS], dict(self.count)
--- a/thorndale/interface.py
+++ b/thorndale/interface.py
@@ -48,38 +48,38 @@
 
 
 class Call(NamedTuple):
-    """A call has arrived at this proxy, which owes it one final answer within left_us."""
+    """A call has arrived at this proxy, which owes it one final answer within answer_within_us."""
 
     call: int
     call_type: int
     client: int
     key: int  # by which a redial of the same call is recognised; 0: none
-    left_us: int
+    answer_within_us: int
     pool: int  # first choice
     redial: bool
-    again: bool  # it was answered and then cut, and is set up anew
+    reattempt: bool  # it was answered and then cut, and is set up anew
 
 
-class Stood(NamedTuple):
+class Answered(NamedTuple):
     """The server has answered a seizure: the call is established."""
 
     call: int
     seizure: int
     server: int
-    lag_us: int
+    latency_us: int
 
 
-class Onward(NamedTuple):
+class Forwarded(NamedTuple):
     """The server has done its own part of a set-up and carries the call on: from now on the seizure waits for
     those beyond that server."""
 
     call: int
     seizure: int
     server: int
-    lag_us: int
+    latency_us: int
 
 
-class Ended(NamedTuple):
+class SeizureEnded(NamedTuple):
     """The end of a seizure, reported once. `final`: the call already has its final answer. `beyond`: the server carried
     the call on and the refusal arose further downstream, where the proxy next to it has made any retries."""
 
@@ -88,51 +88,51 @@
     server: int
     outcome: int
     wait_us: int  # queueing delay reported by a full processor, else 0
-    lag_us: int
+    latency_us: int
     final: bool
     report: Report | None
     beyond: bool = False
 
 
-class Left(NamedTuple):
+class CallerAbandoned(NamedTuple):
     """The caller has abandoned the call; no final answer is owed."""
 
     call: int
 
 
-class Due(NamedTuple):
+class TimerFired(NamedTuple):
     """A timer that SetTimer armed has fired."""
 
     token: int
 
 
-class Seen(NamedTuple):
-    """A load report that came outside a seizure. `asked`: in answer to a request."""
+class ServerReport(NamedTuple):
+    """A load report that came outside a seizure. `requested`: in answer to a request."""
 
     server: int
     report: Report
-    asked: bool
+    requested: bool
 
 
-class Told(NamedTuple):
+class PeerMessage(NamedTuple):
     """A message from another proxy."""
 
     peer: int
     data: bytes
 
 
-class Right(NamedTuple):
-    """The fleet's answer to an Ask: the retry lease, valid until `until_us`; 0 if it is refused."""
+class RetryLease(NamedTuple):
+    """The fleet's answer to a RequestLease: the retry lease, valid until `until_us`; 0 if it is refused."""
 
     call: int
     until_us: int
 
 
-class Word(NamedTuple):
+class PeerFailureReport(NamedTuple):
     """Weighed failure reports of other proxies on a server: log odds that it has failed; 0 if there are none."""
 
     server: int
-    odds: float
+    failure_log_odds: float
 
 
 class Seize(NamedTuple):
@@ -144,9 +144,9 @@
     first: bool = False
 
 
-class Ask(NamedTuple):
+class RequestLease(NamedTuple):
     """Request a retry lease from the fleet, for a retry within this proxy's own budget that is due at `resume_us`. Only
-    with the setting `fleet_rights`; each is answered by a Right."""
+    with the setting `fleet_rights`; each is answered by a RetryLease."""
 
     call: int
     server: int
@@ -163,19 +163,19 @@
 class Reason(StrEnum):
     """Why a call is given back. For logs only: no decision depends on it."""
 
-    UNSAID = ""
+    UNSPECIFIED = ""
     TOO_MANY_OPEN = "as many calls are open as may be"
     LATE_REDIAL = "redials are refused while first set-ups find no room"
-    NO_ROOM = "no server has room for it"
-    NO_OTHER_ROOM = "no server has room for another attempt"
-    MOST_ATTEMPTS = "it had all its attempts"
+    NO_CAPACITY = "no server has room for it"
+    NO_OTHER_CAPACITY = "no server has room for another attempt"
+    ATTEMPTS_EXHAUSTED = "it had all its attempts"
     BUDGET_SPENT = "the retry budget of the next server is spent"
     RETRY_TOO_LATE = "another attempt would come too late"
     RETRY_BARRED = "the server of its retry has failed or left"
-    NO_RIGHT = "the fleet gave no right to the retry in time"
-    FULL_BEYOND = "there is no room beyond the server"
+    NO_LEASE = "the fleet gave no right to the retry in time"
+    FULL_DOWNSTREAM = "there is no room beyond the server"
     SERVER_REFUSED = "the server's refusal is final"
-    TIME_IS_UP = "its time is up"
+    DEADLINE_PASSED = "its time is up"
     NO_SITE = "no site takes it"
 
 
@@ -184,14 +184,14 @@
 
     call: int
     comeback_us: int
-    reason: Reason = Reason.UNSAID
+    reason: Reason = Reason.UNSPECIFIED
 
 
 class Fail(NamedTuple):
     """Final answer: the call has failed."""
 
     call: int
-    reason: Reason = Reason.UNSAID
+    reason: Reason = Reason.UNSPECIFIED
 
 
 class SetTimer(NamedTuple):
@@ -203,5 +203,5 @@
     text: str
 
 
-class Follow(NamedTuple):
+class SubscribeList(NamedTuple):
     """Subscribe to changes of the server list, where they do not come unrequested."""
--- a/thorndale/platform/border.py
+++ b/thorndale/platform/border.py
@@ -269,7 +269,7 @@
         """The caller of a call that is being set up has left: nothing more is owed."""
         self._trace(held, "given up", why=why)
         self._close(held)
-        self.door.tell(io.Left(held.index))
+        self.door.tell(io.CallerAbandoned(held.index))
         if held.seizure is not None:
             self._cancel(now, held.seizure, io.CANCELLED, True)
         self.done.append(held)
@@ -407,7 +407,7 @@
         elif signal.method == "NOTIFY" and signal.report and central.leads(link):
             report = sip.report(signal.report, self.config.fields)
             central.count("states")
-            self.door.tell(io.Seen(central.index, report, False))
+            self.door.tell(io.ServerReport(central.index, report, False))
 
     def _answered(self, now, link, signal):
         if signal.status < 200:
@@ -450,7 +450,7 @@
         call.central, call.body = central, b""
         central.standing[call.id] = call
         self._trace(call, "stood", connection=call.connection.key, server=central.name, taken=taken, lag_ms=lag // 1000)
-        self.door.tell(io.Stood(call.index, seizure.number, central.index, lag))
+        self.door.tell(io.Answered(call.index, seizure.number, central.index, lag))
         if seizure.released is not None:
             self._over(now, call, seizure.released, None)
         elif not taken:  # its caller's connection is ending: it stands for nobody
@@ -503,7 +503,7 @@
         central.count("completed" if outcome == io.COMPLETED else "cut")
         self._close(call)
         if call.index >= 0:
-            self.door.tell(io.Ended(call.index, call.sent - 1, central.index, outcome, 0, 0, True, report))
+            self.door.tell(io.SeizureEnded(call.index, call.sent - 1, central.index, outcome, 0, 0, True, report))
             self.done.append(call)
         self._forget(central)
 
@@ -534,7 +534,9 @@
         central.count(outcomes.NAMES[outcome])
         self._trace(call, "attempt ended", server=central.name, outcome=outcomes.NAMES[outcome], attempt=seizure.number)
         since = seizure.since if seizure.sent_at is None else seizure.sent_at
-        self.door.tell(io.Ended(call.index, seizure.number, central.index, outcome, 0, now - since, final, report))
+        self.door.tell(
+            io.SeizureEnded(call.index, seizure.number, central.index, outcome, 0, now - since, final, report)
+        )
 
     def _cancel(self, now, seizure, outcome, final):
         """Takes a seizure back: with a CANCEL where its INVITE was written, else it never leaves."""
@@ -557,7 +559,7 @@
             self._tend(now)
             self.timers.set(now + TEND_US, self, "tend")
         else:
-            self.door.tell(io.Due(name))
+            self.door.tell(io.TimerFired(name))
 
     def run(self, now, most=1 << 30):
         return self.timers.run(now, most)
@@ -581,7 +583,7 @@
         if kind is io.Log:
             self.send.log("module", text=self._named(action.text))
             return
-        if kind is io.Follow:
+        if kind is io.SubscribeList:
             return  # the control feed is followed always
         call = self.door.calls[action.call]
         if call is None or call.over:
--- a/thorndale/policy.py
+++ b/thorndale/policy.py
@@ -23,7 +23,7 @@
 SLOT_US = 1_000_000  # length of a slot; the window is 10 s
 RETRY_SHARE = 0.1  # retries per first set-up in the window
 RETRY_FLOOR = 3  # retries in the window that are always within the budget
-SEIZURES = 3  # seizures of a call, the first included
+MAX_SEIZURES = 3  # seizures of a call, the first included
 BACKOFF_BASE_US = 50_000  # upper bound of the backoff before the first retry, doubled for each earlier retry
 BACKOFF_MAX_US = 2_000_000  # upper bound of any backoff
 SKIP_US = 1_000_000  # how long a server that was full or timed out is skipped
@@ -39,7 +39,7 @@
 REPORT_AGE_US = 500_000  # age of a load report on arrival: half its period and its transit time
 CALL_MEAN_WEIGHT = 0.02  # weight of a call in the mean revenue and length: some 50 calls, a few seconds of one proxy
 FAILED_LOSS_PROBABILITY, SOUND_LOSS_PROBABILITY = 0.9, 0.02  # chance of a lost seizure; far apart
-FAILED_AT = 4.0  # log odds from which a server counts as failed: reached by two losses with no answer between
+FAILED_LOG_ODDS = 4.0  # log odds from which a server counts as failed: reached by two losses with no answer between
 LOG_ODDS_MAX = 8.0  # upper bound of the log odds, so that some dozen answers clear any server
 TIMER_GAP_MAX_US = 200_000  # longest gap between timers while a call is pending, so that a stall of the proxy shows
 STALL_US = 100_000  # delay of a timer from which the proxy itself counts as stalled: many ticks
@@ -75,21 +75,21 @@
     state=io.SERVING,
     pool=-1,
     started=0,
-    free=None,  # free lines as last reported
+    free_lines=None,  # free lines as last reported
     reported_rate=0.0,  # set-ups a second that the server reports it can take
     skip_until=0,
     empty_until=0,
     window_slot=0,  # number of the window's newest slot
-    wait=0,  # us of queueing delay last observed
-    wait_at=0,  # when the set-up that met it was sent
-    told=None,  # last report with a wait
+    queue_delay=0,  # us of queueing delay last observed
+    queue_delay_at=0,  # when the set-up that met it was sent
+    last_report=None,  # last report with a wait
     last_latency=0,  # us that the last answer took
     least_latency=1 << 60,  # us that the fastest answer took
-    silent=0,  # seizures sent since the last answer
+    unanswered=0,  # seizures sent since the last answer
     last_sent_at=0,
-    score=0.0,  # log odds that it has failed, by this proxy's own outcomes
+    failure_log_odds=0.0,  # log odds that it has failed, by this proxy's own outcomes
     peer_log_odds=0.0,  # the same, as other proxies report it
-    loss=0.0,  # fraction of set-ups that were lost while others were answered
+    loss_fraction=0.0,  # fraction of set-ups that were lost while others were answered
     error_fraction=CALLER_ERROR_FRACTION,  # answered with an error; never below what callers may cause
     last_cut_at=-SLOT_US,  # when an answered call was last cut with no other
     cold_credit=0.0,  # set-ups that may go while the server is cold
@@ -97,11 +97,11 @@
     lines_in_use=0,  # as last reported
     lines_in_use_at=0,
     line_demand=0.0,  # set-ups a us that all proxies together want
-    part=1.0,  # fraction of the set-ups that the lines allow
-    open=1.0,  # fraction of the set-ups that the processor has been found to take
+    line_fraction=1.0,  # fraction of the set-ups that the lines allow
+    processor_fraction=1.0,  # fraction of the set-ups that the processor has been found to take
     processor_fraction_at=0,
     turn_credit=None,  # round-robin credit: calls owed to it within its pool
-    share=1.0,  # its weight among the pool's servers; 1 is an equal one
+    weight=1.0,  # its weight among the pool's servers; 1 is an equal one
     least_reported_wait=None,  # us
     weight_at=0,  # when the weight was last updated
 )
@@ -120,9 +120,9 @@
         "full_revenue",
         "revenue",
         "arrived_at",
-        "last",
+        "deadline",
         "attempts",
-        "out",
+        "seizure",
         "server",
         "failed_server",
         "no_capacity",
@@ -138,17 +138,17 @@
 
     def __init__(self, event, now):
         self.call, self.call_type, self.client, self.pool = event.call, event.call_type, event.client, event.pool
-        self.key, self.redial = event.key, event.redial or event.again
+        self.key, self.redial = event.key, event.redial or event.reattempt
         self.full_revenue = not event.redial
-        self.arrived_at, self.last = now, now + event.left_us  # last: the deadline of the final answer
-        # out: number of the seizure in flight, -1 if there is none
-        self.attempts, self.out, self.server, self.failed_server = 0, -1, -1, -1
+        self.arrived_at, self.deadline = now, now + event.answer_within_us
+        # seizure: number of the one in flight, -1 if there is none
+        self.attempts, self.seizure, self.server, self.failed_server = 0, -1, -1, -1
         # lease_until: until when a retry may go, or LEASE_WANTED, LEASE_REQUESTED
         self.retry_at = self.release_until = self.lease_until = 0
         # no_capacity: the call would be given back because servers are full, not because they failed
         self.revenue, self.answered, self.no_capacity = 0.0, False, True
         self.forwarded = False  # the server of the seizure in flight has carried the call on
-        self.want, self.target_server, self.reason = "new", 0, io.Reason.UNSAID
+        self.want, self.target_server, self.reason = "new", 0, io.Reason.UNSPECIFIED
 
     def reject(self, reason):
         self.want, self.reason = "reject", reason
@@ -166,7 +166,11 @@
         self.stalled = False  # this proxy stalled, so the times in this batch contain its own delay
         for name in SERVER_DEFAULTS:
             setattr(self, name, [])
-        self.first_setups, self.retries, self.out = [], [], []  # per slot; out: {call: when sent}, oldest first
+        self.first_setups, self.retries, self.in_flight = (
+            [],
+            [],
+            [],
+        )  # per slot; in_flight: {call: when sent}, oldest first
         self.by_pool, self.pool_inflow = {}, {}  # servers; set-ups a second from all proxies while warm
         self.busy_fraction, self.quota_credit_at = {}, 0  # by pool: fraction of samples that found a busy server
         self.mean_hold_us = max(settings["type_hold_us"], default=SLOTS * SLOT_US)  # mean length of a call
@@ -178,14 +182,14 @@
         self.handlers = {
             io.Servers: self._on_servers,
             io.Call: self._on_call,
-            io.Stood: self._on_answered,
-            io.Left: self._on_caller_abandoned,
-            io.Ended: self._ended,
-            io.Seen: self._on_server_report,
+            io.Answered: self._on_answered,
+            io.CallerAbandoned: self._on_caller_abandoned,
+            io.SeizureEnded: self._on_seizure_ended,
+            io.ServerReport: self._on_server_report,
             io.ListFailed: self._on_list_failed,
-            io.Right: self._on_retry_lease,
-            io.Word: self._on_peer_failure_report,
-            io.Onward: self._onward,
+            io.RetryLease: self._on_retry_lease,
+            io.PeerFailureReport: self._on_peer_failure_report,
+            io.Forwarded: self._on_forwarded,
         }
 
     def handle(self, now, events):
@@ -204,7 +208,7 @@
 
     # ---- state, updated by events ----
 
-    def _chance(self):
+    def _random(self):
         """A linear congruential generator; returns its high bits as a fraction from 0 to 1."""
         self.random_state = (self.random_state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
         return (self.random_state >> 40) / (1 << 24)
@@ -215,7 +219,7 @@
                 getattr(self, name).append(first)
             self.first_setups.append([0] * SLOTS)
             self.retries.append([0] * SLOTS)
-            self.out.append({})
+            self.in_flight.append({})
 
     def _on_servers(self, event):
         listed = set()
@@ -225,10 +229,15 @@
             listed.add(server)
             if entry.started_us != self.started[server] and entry.state == io.SERVING:
                 # A new process: what was learned about the old one is void, and it may be cold.
-                self.started[server], self.score[server] = entry.started_us, 0.0
+                self.started[server], self.failure_log_odds[server] = entry.started_us, 0.0
                 self.cold_credit[server], self.cold_credit_at[server], self.lines_in_use[server] = 0.0, self.now, 0
-                self.wait[server], self.reported_rate[server], self.silent[server], self.out[server] = 0, 0.0, 0, {}
-                self.share[server], self.least_reported_wait[server], self.peer_log_odds[server] = 1.0, None, 0.0
+                (
+                    self.queue_delay[server],
+                    self.reported_rate[server],
+                    self.unanswered[server],
+                    self.in_flight[server],
+                ) = 0, 0.0, 0, {}
+                self.weight[server], self.least_reported_wait[server], self.peer_log_odds[server] = 1.0, None, 0.0
             self._set_state(server, entry.state)
             self.pool[server] = entry.pool
         if event.whole:
@@ -242,7 +251,7 @@
         for servers in self.by_pool.values():
             for server in servers if len(servers) > 1 else ():
                 if self.turn_credit[server] is None:  # random, or all proxies would begin with the same server
-                    self.turn_credit[server] = self._chance() - 0.5
+                    self.turn_credit[server] = self._random() - 0.5
 
     def _set_state(self, server, state):
         if self.state[server] != state:
@@ -255,7 +264,7 @@
     def _on_server_report(self, event):
         self._add_server(event.server)
         self._apply_report(event.server, event.report)
-        if not event.asked:
+        if not event.requested:
             self._update_inflow(event.server, event.report)
 
     def _update_inflow(self, server, report):
@@ -268,7 +277,7 @@
             inflow = max(
                 0.0, (in_use - self.lines_in_use[server]) / elapsed_us + self.lines_in_use[server] / self.mean_hold_us
             )
-            if not self._cold(server) and self.state[server] == io.SERVING:
+            if not self._is_cold(server) and self.state[server] == io.SERVING:
                 mean = self.pool_inflow.setdefault(self.pool[server], inflow * 1e6)
                 self.pool_inflow[self.pool[server]] = mean + (inflow * 1e6 - mean) * INFLOW_MEAN_WEIGHT
             self._update_line_fraction(
@@ -287,34 +296,34 @@
         together. Cost: a few lines stay free to absorb random variation."""
         if was_open:  # while the last report says that no line is free, no proxy sends calls there
             # Calls held back by this proxy's own load control do not count.
-            demand = inflow / max(self.part[server], FRACTION_MIN)
+            demand = inflow / max(self.line_fraction[server], FRACTION_MIN)
             if free * free < ending_rate * elapsed_us:
                 demand = max(demand, self.line_demand[server]) * UNSEEN_DEMAND_GROWTH
             self.line_demand[server] = (self.line_demand[server] + demand) / 2 if self.line_demand[server] else demand
         capacity = max(
             0.0, (free - SPARE_LINES_DEVIATIONS * sqrt(ending_rate * elapsed_us)) / elapsed_us / 2 + ending_rate
         )
-        self.part[server] = min(1.0, capacity / self.line_demand[server]) if self.line_demand[server] else 1.0
+        self.line_fraction[server] = min(1.0, capacity / self.line_demand[server]) if self.line_demand[server] else 1.0
 
     def _apply_report(self, server, report):
         if report.free is not None:
-            self.free[server] = report.free
+            self.free_lines[server] = report.free
             if report.free > 0:
                 self.empty_until[server] = 0
         self.reported_rate[server] = report.rate or self.reported_rate[server]
         # A repeated report may be an old one. An idle server's reports of 0 differ in their other figures.
-        if report.wait_us is not None and report != self.told[server]:
-            self.told[server] = report
+        if report.wait_us is not None and report != self.last_report[server]:
+            self.last_report[server] = report
             self._record_queue_delay(server, report.wait_us, self.now - REPORT_AGE_US)
-            self._weigh(server, report.wait_us)
+            self._update_weight(server, report.wait_us)
 
-    def _weigh(self, server, wait):
+    def _update_weight(self, server, wait):
         """Learns the weight of a server in its pool: it sinks where samples find the server busy more often than
         others. A processor of any size is found busy as often as it is used, so equal busy fractions mean load in
         proportion to capacity, whoever sent it. Prevents servers of unlike size from being loaded alike. Cost: the
         noise of few samples, which differs from proxy to proxy and so averages out in the sum."""
         servers = self.by_pool.get(self.pool[server], ())
-        if len(servers) < 2 or server not in servers or self._cold(server):
+        if len(servers) < 2 or server not in servers or self._is_cold(server):
             return
         least_wait = wait if self.least_reported_wait[server] is None else self.least_reported_wait[server]
         busy = wait > least_wait + BUSY_WAIT_US
@@ -329,34 +338,34 @@
         busy += min(OVERLOAD_SAMPLE_MAX - 1, (wait / (DELAY_GOAL_FRACTION * self.setup_target_us)) ** 2)
         pool_mean = self.busy_fraction.get(self.pool[server], busy)
         self.busy_fraction[self.pool[server]] = pool_mean + (busy - pool_mean) * step / len(servers)
-        self.share[server] = min(WEIGHT_MAX, max(1 / WEIGHT_MAX, weight * exp(step * (pool_mean - busy))))
+        self.weight[server] = min(WEIGHT_MAX, max(1 / WEIGHT_MAX, weight * exp(step * (pool_mean - busy))))
 
     def _current_weight(self, server):
         """The weight of a server, faded toward 1 with the time since it was last learned."""
-        return self.share[server] ** exp((self.weight_at[server] - self.now) / WEIGHT_FADE_US)
+        return self.weight[server] ** exp((self.weight_at[server] - self.now) / WEIGHT_FADE_US)
 
     def _record_queue_delay(self, server, delay, sent_at):
         """Records a queueing delay met by a set-up sent at `sent_at`, unless this proxy stalled and the delay may be
         its own."""
-        if sent_at > self.wait_at[server] and (not self.stalled or delay <= self._wait(server)):
-            self.wait[server], self.wait_at[server] = delay, sent_at
+        if sent_at > self.queue_delay_at[server] and (not self.stalled or delay <= self._expected_delay(server)):
+            self.queue_delay[server], self.queue_delay_at[server] = delay, sent_at
 
     def _score_outcome(self, server, lost, sound_loss=SOUND_LOSS_PROBABILITY):
         """Sequential test (CUSUM of log odds) on outcomes; `sound_loss` is the chance of a loss at a sound server.
         Detects a server that takes set-ups and loses them, whatever the cause: dead, hung or unreachable. A server
         that loses some and answers others is judged against its own lost fraction, and stays in use."""
-        was_failed = self.score[server] >= FAILED_AT
+        was_failed = self.failure_log_odds[server] >= FAILED_LOG_ODDS
         self.peer_log_odds[server] *= lost  # an own answer outweighs peer reports
-        expected_loss = min(FAILED_LOSS_PROBABILITY * 0.9, max(sound_loss, self.loss[server]))
+        expected_loss = min(FAILED_LOSS_PROBABILITY * 0.9, max(sound_loss, self.loss_fraction[server]))
         step = (
             log(FAILED_LOSS_PROBABILITY / expected_loss)
             if lost
             else log((1 - FAILED_LOSS_PROBABILITY) / (1 - expected_loss))
         )
-        self.score[server] = min(LOG_ODDS_MAX, max(0.0, self.score[server] + step))
+        self.failure_log_odds[server] = min(LOG_ODDS_MAX, max(0.0, self.failure_log_odds[server] + step))
         if not lost and was_failed:
-            self.score[server] = 0.0  # a failed server that answers a trial is back in use
-        if (self.score[server] >= FAILED_AT) != was_failed:
+            self.failure_log_odds[server] = 0.0  # a failed server that answers a trial is back in use
+        if (self.failure_log_odds[server] >= FAILED_LOG_ODDS) != was_failed:
             self.log_lines.append(f"server {server}: {'answers again' if was_failed else 'failed, loses seizures'}")
 
     def _on_call(self, event):
@@ -367,7 +376,7 @@
         revenue = settings["type_revenue"][call_type]
         while self.key_expiry and self.key_expiry[0][0] <= self.now:
             self.recent_keys.pop(self.key_expiry.popleft()[1], None)
-        if event.key in self.recent_keys and not event.again:
+        if event.key in self.recent_keys and not event.reattempt:
             pending.redial, pending.full_revenue, pending.arrived_at = True, False, self.recent_keys[event.key]
         if not pending.full_revenue:
             revenue *= settings["type_late_part"][call_type]
@@ -380,8 +389,8 @@
         self.calls[event.call] = pending
         self.changed.append(pending)
         spare_us = ANSWER_SPARE_TICKS * settings["tick_us"]
-        pending.last = max(self.now, pending.last - spare_us)
-        self._schedule(pending.last, pending)
+        pending.deadline = max(self.now, pending.deadline - spare_us)
+        self._schedule(pending.deadline, pending)
 
     def _within_quota(self, client):
         """Whether a call is within this proxy's part of its client's quota: a token bucket of QUOTA_BURST_US."""
@@ -399,42 +408,42 @@
 
     def _on_answered(self, event):
         pending = self.calls.get(event.call)
-        current = pending is not None and pending.out == event.seizure
+        current = pending is not None and pending.seizure == event.seizure
         if not (current and pending.forwarded):
             self._record_answer(event)
         if current:
             pending.answered = True
 
-    def _onward(self, event):
+    def _on_forwarded(self, event):
         """The server has carried the call on, so later events concern those beyond it. Prevents their delays and
         refusals from being counted as the next server's own at every hop of a chain."""
         pending = self.calls.get(event.call)
-        if pending is not None and pending.out == event.seizure and not pending.forwarded:
+        if pending is not None and pending.seizure == event.seizure and not pending.forwarded:
             pending.forwarded = True
             self._record_answer(event)
 
     def _record_answer(self, event):
         server = event.server
-        sent_at = self.out[server].pop(event.call, None)
-        self.least_latency[server] = min(self.least_latency[server], event.lag_us)
-        self.last_latency[server] = event.lag_us
-        self.loss[server] -= self.loss[server] * LOSS_MEAN_WEIGHT
+        sent_at = self.in_flight[server].pop(event.call, None)
+        self.least_latency[server] = min(self.least_latency[server], event.latency_us)
+        self.last_latency[server] = event.latency_us
+        self.loss_fraction[server] -= self.loss_fraction[server] * LOSS_MEAN_WEIGHT
         self.error_fraction[server] = max(CALLER_ERROR_FRACTION, self.error_fraction[server] * (1 - ERROR_MEAN_WEIGHT))
         if sent_at:  # unanswered set-ups sent earlier were lost on the way: no evidence of a queue
-            for call in [call for call, earlier in self.out[server].items() if earlier < sent_at]:
-                del self.out[server][call]
-                self.loss[server] += (1 - self.loss[server]) * LOSS_MEAN_WEIGHT
-            self._record_queue_delay(server, event.lag_us - self.least_latency[server], sent_at)
+            for call in [call for call, earlier in self.in_flight[server].items() if earlier < sent_at]:
+                del self.in_flight[server][call]
+                self.loss_fraction[server] += (1 - self.loss_fraction[server]) * LOSS_MEAN_WEIGHT
+            self._record_queue_delay(server, event.latency_us - self.least_latency[server], sent_at)
         self._score_outcome(server, False)
-        self.silent[server] = 0
+        self.unanswered[server] = 0
 
-    def _ended(self, event):
+    def _on_seizure_ended(self, event):
         server, pending = event.server, self.calls.get(event.call)
-        downstream = event.beyond or pending is not None and pending.out == event.seizure and pending.forwarded
+        downstream = event.beyond or pending is not None and pending.seizure == event.seizure and pending.forwarded
         downstream = downstream and event.outcome in REFUSAL_OUTCOMES
         # The server answered; a refusal from beyond it is not its own.
         outcome = io.BUSY if downstream else event.outcome
-        sent_at = self.out[server].pop(event.call, None)
+        sent_at = self.in_flight[server].pop(event.call, None)
         if event.report:
             self._apply_report(server, event.report)
         no_answer = outcome in (io.TIMED_OUT, io.CANCELLED)  # cancelled only when the caller's deadline comes
@@ -444,34 +453,41 @@
         elif (
             no_answer
             and sent_at
-            and event.lag_us >= self.setup_target_us
+            and event.latency_us >= self.setup_target_us
             and not self.stalled
             or outcome in LOST_OUTCOMES
         ):
             # One that others overtook also raises the lost fraction, against which it is judged.
             self._score_outcome(server, True)
-        if no_answer and sent_at and self.wait_at[server] > sent_at:
-            self.loss[server] += (1 - self.loss[server]) * LOSS_MEAN_WEIGHT
-        elif no_answer and sent_at and event.lag_us > self._wait(server) and self.loss[server] < LOSSY_FRACTION:
-            self._record_queue_delay(server, event.lag_us, sent_at)
+        if no_answer and sent_at and self.queue_delay_at[server] > sent_at:
+            self.loss_fraction[server] += (1 - self.loss_fraction[server]) * LOSS_MEAN_WEIGHT
+        elif (
+            no_answer
+            and sent_at
+            and event.latency_us > self._expected_delay(server)
+            and self.loss_fraction[server] < LOSSY_FRACTION
+        ):
+            self._record_queue_delay(server, event.latency_us, sent_at)
         if outcome in (io.FULL, io.BUSY, io.FAULTY):
-            self.silent[server] = 0
+            self.unanswered[server] = 0
         if outcome == io.FAULTY:  # the call itself may be the cause, and the server answered
             self._score_outcome(server, True, self.error_fraction[server])
             self.error_fraction[server] += (1 - self.error_fraction[server]) * ERROR_MEAN_WEIGHT
         if outcome == io.FULL:
-            self._record_queue_delay(server, max(self._wait(server), event.wait_us, 2 * self.setup_target_us), self.now)
+            self._record_queue_delay(
+                server, max(self._expected_delay(server), event.wait_us, 2 * self.setup_target_us), self.now
+            )
         if outcome == io.EMPTY:
             self.empty_until[server] = self.now + SKIP_US
-        if outcome == io.FULL or outcome == io.TIMED_OUT and sent_at and self.wait_at[server] <= sent_at:
+        if outcome == io.FULL or outcome == io.TIMED_OUT and sent_at and self.queue_delay_at[server] <= sent_at:
             # Not if a later one was answered: then this one alone was lost.
             self.skip_until[server] = self.now + SKIP_US
-        if pending is None or pending.out != event.seizure:
+        if pending is None or pending.seizure != event.seizure:
             return
         if event.final:
             del self.calls[event.call]
             return
-        pending.out, pending.answered, pending.forwarded, pending.failed_server = -1, False, False, server
+        pending.seizure, pending.answered, pending.forwarded, pending.failed_server = -1, False, False, server
         pending.no_capacity = outcome in (io.FULL, io.EMPTY)
         if outcome in (io.TIMED_OUT, io.RESET, io.CANCELLED):
             pending.release_until = self.now + self.settings["release_us"]
@@ -480,7 +496,7 @@
             pending.fail(io.Reason.SERVER_REFUSED)
         # A retry would do no harm, but is not for this proxy to make.
         if downstream and event.outcome in (io.FULL, io.EMPTY):
-            pending.reject(io.Reason.FULL_BEYOND)
+            pending.reject(io.Reason.FULL_DOWNSTREAM)
         self.changed.append(pending)
 
     def _on_peer_failure_report(self, event):
@@ -488,7 +504,7 @@
         each proxy from finding a dead server by itself. Cost: false reports shift calls, but never bar the last
         server (`_route`)."""
         self._add_server(event.server)
-        self.peer_log_odds[event.server] = min(LOG_ODDS_MAX, event.odds)
+        self.peer_log_odds[event.server] = min(LOG_ODDS_MAX, event.failure_log_odds)
 
     def _on_retry_lease(self, event):
         pending = self.calls.get(event.call)
@@ -531,23 +547,29 @@
 
     # ---- routing and admission ----
 
-    def _wait(self, server):
+    def _expected_delay(self, server):
         """The queueing delay that a new set-up would meet: the last one observed, decayed, and at least the age of the
         oldest unanswered set-up sent after the one that observed it. Unanswered set-ups sent before that one are
         lost."""
-        if self.score[server] >= FAILED_AT and self._trial_due(server):
+        if self.failure_log_odds[server] >= FAILED_LOG_ODDS and self._trial_due(server):
             return 0
-        unanswered_since = [sent_at for sent_at in self.out[server].values() if sent_at > self.wait_at[server]]
-        lost = int(self.loss[server] * len(unanswered_since) + 1 - LOSSY_FRACTION)
+        unanswered_since = [
+            sent_at for sent_at in self.in_flight[server].values() if sent_at > self.queue_delay_at[server]
+        ]
+        lost = int(self.loss_fraction[server] * len(unanswered_since) + 1 - LOSSY_FRACTION)
         oldest = unanswered_since[lost] if lost < len(unanswered_since) else self.now
-        return max(0, self.wait[server] - int((self.now - self.wait_at[server]) * DELAY_DECAY_RATE), self.now - oldest)
+        return max(
+            0,
+            self.queue_delay[server] - int((self.now - self.queue_delay_at[server]) * DELAY_DECAY_RATE),
+            self.now - oldest,
+        )
 
     def _trial_due(self, server):
         """Whether one set-up may try a server that has answered none since the last answer. The gap grows with the
         unanswered sends. Prevents lost set-ups from being taken for a queue, which would idle a sound server. Cost:
         the calls tried on a hung server. A server that is merely slow gets twice its last latency to answer."""
-        unanswered = self.silent[server]
-        if not unanswered and self.score[server] < FAILED_AT:
+        unanswered = self.unanswered[server]
+        if not unanswered and self.failure_log_odds[server] < FAILED_LOG_ODDS:
             return False
         gap_us = max(
             2 * self.last_latency[server],
@@ -555,7 +577,7 @@
         )
         return self.now >= self.last_sent_at[server] + gap_us
 
-    def _cold(self, server):
+    def _is_cold(self, server):
         return self.started[server] > 0 and self.now < self.started[server] + self.settings["warm_up_us"]
 
     def _cold_rate(self, server):
@@ -569,33 +591,37 @@
         warm_rate = self.pool_inflow.get(self.pool[server]) or min(self.pool_inflow.values(), default=0.0)
         return max(warm_rate, 1e6 / self.settings["fall_us"]) * warmth
 
-    def _open(self, server):
+    def _admitted_fraction(self, server):
         """The fraction of the calls for a server that may go there: what its lines allow, and what keeps the queueing
         delay at its processor near the goal. The latter is learned from delays above and below the goal, and
         adjusted at once by the present delay. Covers any lack of capacity, whatever its cause."""
         delay_goal, excess = (
             DELAY_GOAL_FRACTION * self.setup_target_us,
-            self._wait(server) - DELAY_GOAL_FRACTION * self.setup_target_us,
+            self._expected_delay(server) - DELAY_GOAL_FRACTION * self.setup_target_us,
         )
         excess /= max(1, DELAY_SPAN_FRACTION * self.setup_target_us if excess > 0 else delay_goal)
         elapsed_us, self.processor_fraction_at[server] = (
             min(SLOT_US, self.now - self.processor_fraction_at[server]),
             self.now,
         )
-        self.open[server] = min(
-            1.0, max(FRACTION_MIN, self.open[server] * (1 - min(1.0, excess) * FRACTION_GAIN_PER_S * elapsed_us / 1e6))
+        self.processor_fraction[server] = min(
+            1.0,
+            max(
+                FRACTION_MIN,
+                self.processor_fraction[server] * (1 - min(1.0, excess) * FRACTION_GAIN_PER_S * elapsed_us / 1e6),
+            ),
         )
-        return min(1.0, self.part[server], self.open[server] * max(0.0, 1 - excess))
+        return min(1.0, self.line_fraction[server], self.processor_fraction[server] * max(0.0, 1 - excess))
 
     def _admits(self, server, pending):
         """Whether a set-up may go to a server; called once for each set-up that would. A cold server gets an equal part
         of its rate from each proxy. Credit below one admits a call at random, and each draw uses it up: so the sum
         over all proxies keeps to the rate with five proxies or five hundred, and whether calls come apart or all at
         once. Cost: part of the rate stays unused where calls are few."""
-        fraction = self._open(server)
-        if fraction < 1 and self._chance() >= fraction * pending.revenue / max(self.mean_revenue, 1e-9):
+        fraction = self._admitted_fraction(server)
+        if fraction < 1 and self._random() >= fraction * pending.revenue / max(self.mean_revenue, 1e-9):
             return False
-        if not self._cold(server):
+        if not self._is_cold(server):
             return True
         fraction = self._cold_rate(server) / max(1, self.settings["instances"]) / 1e6
         saved_us = min(self.now - self.cold_credit_at[server], COLD_CREDIT_FALL_FRACTION * self.settings["fall_us"])
@@ -604,20 +630,20 @@
             fraction * COLD_CREDIT_FALL_FRACTION * self.settings["fall_us"],
         )
         self.cold_credit_at[server] = self.now
-        admitted = self._chance() < self.cold_credit[server]
+        admitted = self._random() < self.cold_credit[server]
         self.cold_credit[server] = max(0.0, self.cold_credit[server] - 1.0)
         return admitted
 
-    def _has_room(self, server):
+    def _is_usable(self, server):
         """Whether failure detection lets a set-up go to a server now; load control and the cold rate are separate
         (`_admits`)."""
         return (
-            self.score[server] + self.peer_log_odds[server] < FAILED_AT
-            or self.peer_log_odds[server] < FAILED_AT
+            self.failure_log_odds[server] + self.peer_log_odds[server] < FAILED_LOG_ODDS
+            or self.peer_log_odds[server] < FAILED_LOG_ODDS
             and self._trial_due(server)
         )
 
-    def _in_turn(self, pool):
+    def _round_robin(self, pool):
         """The servers of a pool in round-robin order: first the one that is owed most of this proxy's calls, each call
         in flight there counted against it. Every proxy distributes its own calls, from a random starting point: few
         as they are, the sum over all proxies is more even than random choice, and no shared figure exists that all
@@ -628,16 +654,16 @@
         # A cold server is considered for each call, outside the round robin: its rate admits few calls, and it would
         # idle if it were considered only at its turn.
         owed = {
-            server: self.turn_credit[server] - len(self.out[server]) / self._current_weight(server)
+            server: self.turn_credit[server] - len(self.in_flight[server]) / self._current_weight(server)
             for server in servers
         }
-        return sorted(servers, key=lambda server: (not self._cold(server), -owed[server]))
+        return sorted(servers, key=lambda server: (not self._is_cold(server), -owed[server]))
 
-    def _pass_turn(self, server, preferred):
+    def _charge_turn(self, server, preferred):
         """Charges a server for its turn, whether or not the call was admitted there. A call that was not taken is not
         owed; otherwise a server that returns would be owed calls by all proxies at once."""
-        pool = [other for other in preferred if self.pool[other] == self.pool[server] and not self._cold(other)]
-        if len(pool) < 2 or self._cold(server):
+        pool = [other for other in preferred if self.pool[other] == self.pool[server] and not self._is_cold(other)]
+        if len(pool) < 2 or self._is_cold(server):
             return
         weights = [self._current_weight(other) for other in pool]
         for other, weight in zip(pool, weights, strict=True):
@@ -650,16 +676,16 @@
         pools = self.settings["type_pools"]
         allowed = pools[pending.call_type] if pending.call_type < len(pools) else list(self.by_pool)
         # A random start, or all calls that leave one pool would go to the same next one.
-        offset = int(self._chance() * len(allowed))
+        offset = int(self._random() * len(allowed))
         pool_order = sorted(allowed[offset:] + allowed[:offset], key=lambda pool: pool != pending.pool)
-        servers = [server for pool in pool_order for server in self._in_turn(pool)]
-        usable = [server for server in servers if self._has_room(server)] or [
-            server for server in servers if self.score[server] < FAILED_AT
+        servers = [server for pool in pool_order for server in self._round_robin(pool)]
+        usable = [server for server in servers if self._is_usable(server)] or [
+            server for server in servers if self.failure_log_odds[server] < FAILED_LOG_ODDS
         ]
         with_lines = [
             server
             for server in usable
-            if server != avoid and self.empty_until[server] <= self.now and self.free[server] != 0
+            if server != avoid and self.empty_until[server] <= self.now and self.free_lines[server] != 0
         ]
         preferred = [server for server in with_lines if self.skip_until[server] <= self.now]
         preferred.sort(key=self._ranks_last)
@@ -669,7 +695,7 @@
                 continue
             admitted = self._admits(server, pending)
             if server in preferred:
-                self._pass_turn(server, preferred)
+                self._charge_turn(server, preferred)
             if admitted:
                 return server
             if self._overflows_pool(server):
@@ -682,16 +708,16 @@
         server last reported idle, then to the next. Cost: a call may leave although another server there had
         capacity."""
         pool = self.by_pool.get(self.pool[server], ())
-        if len(pool) < 2 or self._cold(server):
+        if len(pool) < 2 or self._is_cold(server):
             return False
-        return self._chance() >= sum(self._open(other) for other in pool) / len(pool)
+        return self._random() >= sum(self._admitted_fraction(other) for other in pool) / len(pool)
 
     def _ranks_last(self, server):
         """Whether a server comes after the others for this call, drawn at random by its error fraction above what
         callers may cause. Prevents fast errors from attracting all traffic. No effect where the others have no
         capacity, since the server is tried after them."""
         excess = (self.error_fraction[server] - CALLER_ERROR_FRACTION) / (1 - CALLER_ERROR_FRACTION)
-        return excess > 0 and self._chance() < excess
+        return excess > 0 and self._random() < excess
 
     def _plan(self, pending):
         """Sets the wanted state of a call that an event or a timer concerns."""
@@ -699,9 +725,9 @@
             return
         if pending.answered:
             pending.want = "keep"
-        elif self.now >= pending.last:
-            pending.fail(io.Reason.TIME_IS_UP)
-        elif pending.out >= 0:
+        elif self.now >= pending.deadline:
+            pending.fail(io.Reason.DEADLINE_PASSED)
+        elif pending.seizure >= 0:
             pending.want = "keep"
         elif pending.want == "new":
             refused_redial = not pending.full_revenue and self.now < self.redials_refused_until
@@ -709,7 +735,7 @@
             if refused_redial:
                 pending.reject(io.Reason.LATE_REDIAL)
             elif server < 0:
-                self._reject_setup(pending, io.Reason.NO_ROOM)
+                self._reject_setup(pending, io.Reason.NO_CAPACITY)
             else:
                 if not pending.redial:
                     self.first_setups[server][self._roll_window(server)] += 1
@@ -722,18 +748,18 @@
                 self._reject_setup(pending, reason)
                 return
             backoff_us = min(BACKOFF_MAX_US, BACKOFF_BASE_US << pending.attempts - 1)
-            retry_at = max(self.now + int(self._chance() * backoff_us), pending.release_until)
-            if retry_at >= pending.last:
+            retry_at = max(self.now + int(self._random() * backoff_us), pending.release_until)
+            if retry_at >= pending.deadline:
                 pending.reject(io.Reason.RETRY_TOO_LATE)
             else:
                 pending.want, pending.target_server, pending.retry_at = "wait", server, retry_at
-                pending.lease_until = LEASE_WANTED if self.settings["fleet_rights"] else pending.last
+                pending.lease_until = LEASE_WANTED if self.settings["fleet_rights"] else pending.deadline
                 self._schedule(retry_at, pending)
         elif pending.want == "wait" and self.now >= pending.retry_at and pending.lease_until >= 0:
             server = pending.target_server
             if self.now > pending.lease_until:
-                pending.reject(io.Reason.NO_RIGHT)
-            elif self.state[server] != io.SERVING or not self._has_room(server):
+                pending.reject(io.Reason.NO_LEASE)
+            elif self.state[server] != io.SERVING or not self._is_usable(server):
                 pending.reject(io.Reason.RETRY_BARRED)
             else:
                 pending.want = "seize"
@@ -741,11 +767,11 @@
 
     def _retry_refusal(self, pending, server):
         """Why a failed call gets no other attempt at a server. Counts the retry if there is no such reason."""
-        if pending.attempts >= min(SEIZURES, self.settings["seizures_max"]):
-            return io.Reason.MOST_ATTEMPTS
+        if pending.attempts >= min(MAX_SEIZURES, self.settings["seizures_max"]):
+            return io.Reason.ATTEMPTS_EXHAUSTED
         if server < 0:
-            return io.Reason.NO_OTHER_ROOM
-        return io.Reason.UNSAID if self._grant_retry(server) else io.Reason.BUDGET_SPENT
+            return io.Reason.NO_OTHER_CAPACITY
+        return io.Reason.UNSPECIFIED if self._grant_retry(server) else io.Reason.BUDGET_SPENT
 
     def _reject_setup(self, pending, reason):
         pending.reject(reason)
@@ -757,8 +783,8 @@
             self.redials_refused_until = self.now + int(REDIAL_REFUSAL_TARGETS * self.setup_target_us)
 
     def _record_seizure(self, pending, server):
-        self.out[server][pending.call] = self.now
-        self.silent[server] += 1
+        self.in_flight[server][pending.call] = self.now
+        self.unanswered[server] += 1
         self.last_sent_at[server] = self.now
 
     def _schedule(self, at_us, pending):
@@ -769,21 +795,21 @@
 
     def _emit(self):
         """Compares the wanted state with the present one and returns the difference as actions."""
-        actions = [io.Log(text) for text in self.log_lines] + [io.Follow()] * self.list_request_due
+        actions = [io.Log(text) for text in self.log_lines] + [io.SubscribeList()] * self.list_request_due
         for pending in self.changed:
             if self.calls.get(pending.call) is not pending:
                 continue
-            if pending.want == "seize" and pending.out < 0:
+            if pending.want == "seize" and pending.seizure < 0:
                 counted = not (pending.attempts or pending.redial)
-                actions.append(io.Seize(pending.call, pending.target_server, pending.last - self.now, counted))
-                pending.out, pending.server, pending.want = pending.attempts, pending.target_server, "keep"
+                actions.append(io.Seize(pending.call, pending.target_server, pending.deadline - self.now, counted))
+                pending.seizure, pending.server, pending.want = pending.attempts, pending.target_server, "keep"
                 pending.attempts += 1
             elif pending.want == "wait" and pending.lease_until == LEASE_WANTED:
                 pending.lease_until = LEASE_REQUESTED
-                actions.append(io.Ask(pending.call, pending.target_server, pending.retry_at))
+                actions.append(io.RequestLease(pending.call, pending.target_server, pending.retry_at))
             elif pending.want in ("reject", "fail"):
-                if pending.out >= 0 and self.settings["may_cancel"]:
-                    actions.append(io.Cancel(pending.call, pending.out))
+                if pending.seizure >= 0 and self.settings["may_cancel"]:
+                    actions.append(io.Cancel(pending.call, pending.seizure))
                 if pending.want == "fail":
                     actions.append(io.Fail(pending.call, pending.reason))
                 else:
@@ -799,4 +825,4 @@
     def _comeback_delay(self):
         """When the caller should come back: the longest that callers heed, spread at random over its later half."""
         announced = self.settings["comeback_told"]
-        return int(self.settings["comeback_max_us"] * (1 + self._chance()) / 2) if announced else 0
+        return int(self.settings["comeback_max_us"] * (1 + self._random()) / 2) if announced else 0
--- a/thorndale/sites/router.py
+++ b/thorndale/sites/router.py
@@ -56,15 +56,15 @@
             if kind is io.Call:
                 self._call(now, event, passed, actions)
                 continue
-            if kind is io.Stood:
+            if kind is io.Answered:
                 self._stood(now, event)
-            elif kind is io.Ended:
+            elif kind is io.SeizureEnded:
                 self._ended(now, event)
-            elif kind is io.Left:
+            elif kind is io.CallerAbandoned:
                 self._left(event)
             elif kind is io.Servers:
                 self._servers(now, event)
-            elif kind is io.Seen:
+            elif kind is io.ServerReport:
                 self._report(event.server, event.report)
             passed.append(event)
         actions += self._offer(now, passed)
@@ -121,8 +121,8 @@
             self._report(event.server, event.report)
             if event.outcome in LOST:
                 self._judge(now, site, self.health[site].lost, event.server, health.CUT_PART if stood else 1.0)
-            elif event.outcome in UNANSWERED and event.lag_us >= self.limit:
-                self._judge(now, site, self.health[site].unanswered, event.server, event.lag_us)
+            elif event.outcome in UNANSWERED and event.latency_us >= self.limit:
+                self._judge(now, site, self.health[site].unanswered, event.server, event.latency_us)
             elif event.outcome in (io.BUSY, io.FULL, io.EMPTY, io.FAULTY):
                 self._judge(now, site, self.health[site].answered, event.server)
         if event.final:
@@ -151,7 +151,7 @@
         order = self.order[event.call_type]
         origin = self.site_of.get(event.pool, -1)
         origin = origin if origin >= 0 else int(self._chance() * self.number)
-        self.calls[event.call] = offered = Offered(event, origin, now + event.left_us, list(order[origin]))
+        self.calls[event.call] = offered = Offered(event, origin, now + event.answer_within_us, list(order[origin]))
         if not self._next(now, offered, passed):
             actions.append(self._turn_away(offered))
 
@@ -174,7 +174,7 @@
             passed.append(
                 event._replace(
                     call_type=plan.index(event.call_type, site, self.number),
-                    left_us=max(1, offered.last - now),
+                    answer_within_us=max(1, offered.last - now),
                     pool=event.pool if self.site_of.get(event.pool) == site else -1,
                     key=event.key if first else 0,
                 )
