--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written wire text."""
+"""The adapter on hand-written protocol text."""
 
 import io as streams
 
@@ -27,37 +27,37 @@
     return code, sink.getvalue().decode(), errors.getvalue()
 
 
-def test_a_call_from_its_coming_to_its_end():
-    stood = "UNDER_WAY\tproxy=3\ttid=3629755735380420\tcopy=0\tserver=51530247\tlagMs=18.5\n"
+def test_a_call_from_arrival_to_completion():
+    answered = "UNDER_WAY\tproxy=3\ttid=3629755735380420\tcopy=0\tserver=51530247\tlagMs=18.5\n"
     ended = (
         "RESOLVED\tproxy=3\ttid=3629755735380420\tlagMs=18.5\tcode=completed\tdoneFlag=1\tserver=51530247\t"
         "copy=0\tstats=idle:0.4,circuits:1.25,latency_ms:-1\n"
     )
-    code, reply, errors = run("", BOOT + CALL, stood, ended, "VANISHED\tproxy=3\ttid=3629755735380420\n")
+    code, reply, errors = run("", BOOT + CALL, answered, ended, "VANISHED\tproxy=3\ttid=3629755735380420\n")
     assert (code, errors, reply.count("END\n")) == (0, "", 5)
     assert "DELIVER\tproxy=3\ttid=3629755735380420\tserver=51530247\ttimeoutMs=2690.500\n" in reply
     assert "SAY_NO" not in reply and "ABORT" not in reply
 
 
-def test_a_restart_within_a_batch_forgets_what_was_held():
+def test_a_restart_within_a_batch_forgets_pending_calls():
     code, reply, _ = run(BOOT + CALL, f"POWER_OFF\tproxy=3\n{BOOT}{CALL}")
     assert code == 0 and reply.count("DELIVER") == 2
 
 
-def test_a_list_number_used_again_in_a_batch_means_the_list_before_each_update():
+def test_a_reused_list_number_in_a_batch_means_the_list_before_each_update():
     other = LIST.replace("51530247", "99").replace("disk", "snapshot")
     code, reply, _ = run(BOOT, other + CALL)
     assert code == 0 and "server=99\t" in reply
 
 
-def test_spread_over_processes_makes_no_difference():
-    two = BOOT + CALL + (BOOT + CALL).replace("proxy=3", "proxy=5")
-    one, other = run(BOOT + CALL)[1], run((BOOT + CALL).replace("proxy=3", "proxy=5"))[1]
-    assert run(two)[1] == one.replace("END\n", "") + other
+def test_distribution_over_processes_makes_no_difference():
+    together = BOOT + CALL + (BOOT + CALL).replace("proxy=3", "proxy=5")
+    first, second = run(BOOT + CALL)[1], run((BOOT + CALL).replace("proxy=3", "proxy=5"))[1]
+    assert run(together)[1] == first.replace("END\n", "") + second
 
 
 @pytest.mark.parametrize(
-    ("batch", "said"),
+    ("batch", "message"),
     [
         (CALL, "never started"),
         (BOOT + "WHAT\tproxy=3\n", "unknown event 'WHAT'"),
@@ -69,9 +69,9 @@
         (BOOT.replace("items=1", "items=2"), "ends short"),
     ],
 )
-def test_bad_input_ends_with_a_plain_message_that_names_the_line(batch, said):
+def test_bad_input_ends_with_a_plain_message_that_names_the_line(batch, message):
     code, reply, errors = run(batch)
-    assert code == 1 and said in errors and "line " in errors and "Traceback" not in errors
+    assert code == 1 and message in errors and "line " in errors and "Traceback" not in errors
     assert "PANIC\tproxy=3\treasonText=" in reply and reply.endswith("END\n")
 
 
@@ -81,6 +81,6 @@
 
 
 @pytest.mark.parametrize(("cause", "answer"), [("\tclearCode=4", "ABORT"), ("", "END")])
-def test_line_busy_is_told_from_a_signalling_fault_by_its_cause(cause, answer):
+def test_the_cause_distinguishes_line_busy_from_a_signalling_fault(cause, answer):
     ended = "RESOLVED\tproxy=3\ttid=3629755735380420\tlagMs=9\tcode=errored\tserver=51530247\tcopy=0"
     assert run(BOOT + CALL, ended + cause + "\n")[1].split("END\n")[1].startswith(answer) or answer == "END"
--- a/thorndale/adapter/__init__.py
+++ b/thorndale/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: framing and parsing (frames), ids and units (door), the hosted instances (host)."""
+"""The simulator's protocol: parsing and formatting lines, mapping ids and units, hosting proxy instances."""
--- a/thorndale/adapter/__main__.py
+++ b/thorndale/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: `python -m thorndale.adapter` speaks the simulator's wire on standard input and output."""
+"""Entry point: `python -m thorndale.adapter` speaks the simulator's protocol on standard input and output."""
 
 import sys
 
--- a/thorndale/adapter/door.py
+++ b/thorndale/adapter/door.py
@@ -1,181 +1,185 @@
-"""The door of one instance: wire ids to small indices and back, milliseconds to whole
-microseconds, wire names to ours.
+"""Translates between the simulator's protocol and the events and actions of one proxy instance: protocol ids to small
+indices and back, milliseconds to whole microseconds, names and codes.
 
-Indices of calls are used again once a call is over and none of its seizures is out.
+A call's index is reused once the call is over and none of its seizures is outstanding.
 """
 
-from thorndale import fields as f
-from thorndale import interface as ours
+from thorndale import fields as field
+from thorndale import interface as io
 from thorndale.adapter import frames
 
-STATES = {"SERVING": ours.SERVING, "DRAINING": ours.DRAINING, "DELETED": ours.GONE}
+STATES = {"SERVING": io.SERVING, "DRAINING": io.DRAINING, "DELETED": io.GONE}
 OUTCOMES = {
-    "completed": ours.COMPLETED,
-    "errored": ours.FAULTY,
-    "saturated": ours.FULL,
-    "overdue": ours.TIMED_OUT,
-    "refused_conn": ours.UNREACHABLE,
-    "severed": ours.RESET,
-    "recalled": ours.CANCELLED,
-    "superseded": ours.NOT_SENT,
+    "completed": io.COMPLETED,
+    "errored": io.FAULTY,
+    "saturated": io.FULL,
+    "overdue": io.TIMED_OUT,
+    "refused_conn": io.UNREACHABLE,
+    "severed": io.RESET,
+    "recalled": io.CANCELLED,
+    "superseded": io.NOT_SENT,
 }
-# Outcomes that the cause tells apart: all lines of the number engaged, no free line in the pool.
-TOLD = {("errored", 4): ours.BUSY, ("saturated", 1): ours.EMPTY}
+# Outcomes that only the cause distinguishes: all lines of the number engaged, no free line in the pool.
+OUTCOMES_BY_CAUSE = {("errored", 4): io.BUSY, ("saturated", 1): io.EMPTY}
 
 
-class Door:
-    def __init__(self, types):
-        self.types = types
-        self.servers, self.server_ids = {}, []
-        self.calls, self.call_ids, self.spare = {}, [], []
-        self.out, self.over = [], []
+class WireCodec:
+    def __init__(self, type_count):
+        self.type_count = type_count
+        self.server_indices, self.server_ids = {}, []
+        self.call_indices, self.call_ids, self.free_indices = {}, [], []
+        self.outstanding, self.call_over = [], []  # by call index: seizures without an end; whether the call is over
 
-    def server(self, wire_id):
-        index = self.servers.get(wire_id)
+    def server_index(self, wire_id):
+        index = self.server_indices.get(wire_id)
         if index is None:
-            index = self.servers[wire_id] = len(self.server_ids)
+            index = self.server_indices[wire_id] = len(self.server_ids)
             self.server_ids.append(wire_id)
         return index
 
-    def _settle(self, index):
-        if self.over[index] and not self.out[index]:
-            del self.calls[self.call_ids[index]]
+    def _free_if_done(self, index):
+        if self.call_over[index] and not self.outstanding[index]:
+            del self.call_indices[self.call_ids[index]]
             self.call_ids[index] = None
-            self.spare.append(index)
+            self.free_indices.append(index)
 
-    def _over(self, index):
-        self.over[index] = True
-        self._settle(index)
+    def _end_call(self, index):
+        self.call_over[index] = True
+        self._free_if_done(index)
 
     def report(self, text):
-        found = f.pairs("stats", text)
-        told = {k: v for k, v in found.items() if v >= 0}
-        wait = told.get("latency_ms")
-        return ours.Report(
-            told.get("idle"),
-            told.get("circuits"),
-            None if wait is None else round(wait * 1000),
-            told.get("max_rate"),
+        values = field.number_pairs("stats", text)
+        reported = {k: v for k, v in values.items() if v >= 0}  # a negative value stands for none
+        wait_ms = reported.get("latency_ms")
+        return io.Report(
+            reported.get("idle"),
+            reported.get("circuits"),
+            None if wait_ms is None else round(wait_ms * 1000),
+            reported.get("max_rate"),
         )
 
     def event(self, name, fields, lists):
-        """The event for the module, or None where there is nothing for it."""
+        """The event for the module, or None if the line carries none."""
         if name == "DEMAND":
-            tid = f.need(fields, "tid", f.whole)
-            if tid in self.calls:
-                raise f.InputError(f"call {tid} was given before")
-            kind = f.need(fields, "priority", f.whole)
-            if not 0 <= kind < self.types:
-                raise f.InputError(f"class {kind} is not in the settings")
-            if self.spare:
-                index = self.spare.pop()
-                self.call_ids[index], self.out[index], self.over[index] = tid, 0, False
+            tid = field.required(fields, "tid", field.integer)
+            if tid in self.call_indices:
+                raise field.InputError(f"call {tid} was offered before")
+            call_type = field.required(fields, "priority", field.integer)
+            if not 0 <= call_type < self.type_count:
+                raise field.InputError(f"call type {call_type} is not in the settings")
+            if self.free_indices:
+                index = self.free_indices.pop()
+                self.call_ids[index], self.outstanding[index], self.call_over[index] = tid, 0, False
             else:
                 index = len(self.call_ids)
                 self.call_ids.append(tid)
-                self.out.append(0)
-                self.over.append(False)
-            self.calls[tid] = index
-            return ours.Call(
+                self.outstanding.append(0)
+                self.call_over.append(False)
+            self.call_indices[tid] = index
+            return io.Call(
                 index,
-                kind,
-                f.maybe(fields, "realm", f.whole, 0),
-                f.maybe(fields, "nameKey", f.hexkey, 0),
-                f.need(fields, "leftMs", f.micros),
-                f.need(fields, "dest", f.whole),
-                f.maybe(fields, "repeat", f.flag, False),
-                f.maybe(fields, "again", f.flag, False),
+                call_type,
+                field.optional(fields, "realm", field.integer, 0),
+                field.optional(fields, "nameKey", field.hexadecimal, 0),
+                field.required(fields, "leftMs", field.ms_to_us),
+                field.required(fields, "dest", field.integer),
+                field.optional(fields, "repeat", field.boolean, False),
+                field.optional(fields, "again", field.boolean, False),
             )
         if name in ("UNDER_WAY", "RESOLVED"):
-            index = self.calls.get(f.need(fields, "tid", f.whole))
-            seizure = f.need(fields, "copy", f.whole)
-            server = self.server(f.need(fields, "server", f.whole))
-            lag = f.need(fields, "lagMs", f.micros)
+            index = self.call_indices.get(field.required(fields, "tid", field.integer))
+            seizure = field.required(fields, "copy", field.integer)
+            server = self.server_index(field.required(fields, "server", field.integer))
+            lag_us = field.required(fields, "lagMs", field.ms_to_us)
             if name == "UNDER_WAY":
-                return None if index is None else ours.Answered(index, seizure, server, lag)
-            code = f.need(fields, "code", f.string)
+                return None if index is None else io.Answered(index, seizure, server, lag_us)
+            code = field.required(fields, "code", field.string)
             if code not in OUTCOMES:
-                raise f.InputError(f"unknown outcome code {code[:40]!r}")
-            cause = f.maybe(fields, "clearCode", f.whole, 0)
-            final = f.maybe(fields, "doneFlag", f.flag, False)
+                raise field.InputError(f"unknown outcome code {code[:40]!r}")
+            cause = field.optional(fields, "clearCode", field.integer, 0)
+            final = field.optional(fields, "doneFlag", field.boolean, False)
             report = self.report(fields["stats"]) if "stats" in fields else None
             if index is None:
                 return None
-            self.out[index] -= 1
-            wait = (cause >> 4) * 1000 if code == "saturated" and cause & 15 == 3 else 0
-            outcome = TOLD.get((code, cause & 15), OUTCOMES[code])
-            event = ours.SeizureEnded(index, seizure, server, outcome, wait, lag, final, report)
+            self.outstanding[index] -= 1
+            wait_us = (cause >> 4) * 1000 if code == "saturated" and cause & 15 == 3 else 0
+            outcome = OUTCOMES_BY_CAUSE.get((code, cause & 15), OUTCOMES[code])
+            event = io.SeizureEnded(index, seizure, server, outcome, wait_us, lag_us, final, report)
             if final:
-                self.over[index] = True
+                self.call_over[index] = True
             return event
         if name == "VANISHED":
-            index = self.calls.get(f.need(fields, "tid", f.whole))
-            return None if index is None else ours.CallerAbandoned(index)
+            index = self.call_indices.get(field.required(fields, "tid", field.integer))
+            return None if index is None else io.CallerAbandoned(index)
         if name == "DEADLINE_HIT":
-            return ours.TimerFired(f.need(fields, "ctx", f.whole))
+            return io.TimerFired(field.required(fields, "ctx", field.integer))
         if name == "SAMPLED":
-            server = f.need(fields, "server", f.whole)
-            code = f.need(fields, "code", f.string)
-            lag = f.maybe(fields, "lagMs", f.micros, 0)
-            if server not in self.servers or code != "completed" or "stats" not in fields:
+            server = field.required(fields, "server", field.integer)
+            code = field.required(fields, "code", field.string)
+            lag_us = field.optional(fields, "lagMs", field.ms_to_us, 0)
+            if server not in self.server_indices or code != "completed" or "stats" not in fields:
                 return None
-            return ours.ServerReport(self.servers[server], self.report(fields["stats"]), lag > 0)
+            return io.ServerReport(self.server_indices[server], self.report(fields["stats"]), lag_us > 0)
         if name == "UPDATE":
-            form = f.need(fields, "form", f.string)
+            form = field.required(fields, "form", field.string)
             if form == "error":
-                return ours.ListFailed()
+                return io.ListFailed()
             if form not in ("diff", "snapshot", "disk"):
-                raise f.InputError(f"unknown form of list {form[:40]!r}")
-            ref = f.need(fields, "ref", f.whole)
+                raise field.InputError(f"unknown form of list {form[:40]!r}")
+            ref = field.required(fields, "ref", field.integer)
             if ref not in lists:
-                raise f.InputError(f"list {ref} was never defined")
-            entries = tuple(ours.Server(self.server(s), pool, state, started) for s, pool, state, started in lists[ref])
-            return ours.Servers(entries, form != "diff", form == "disk")
+                raise field.InputError(f"list {ref} is not defined")
+            entries = tuple(
+                io.Server(self.server_index(s), pool, state, started) for s, pool, state, started in lists[ref]
+            )
+            return io.Servers(entries, form != "diff", form == "disk")
         if name == "MEMO":
-            return ours.PeerMessage(f.need(fields, "srcPeer", f.whole), f.need(fields, "bytes", f.octets))
-        raise f.InputError(f"unknown event {name[:40]!r}")
+            return io.PeerMessage(
+                field.required(fields, "srcPeer", field.integer), field.required(fields, "bytes", field.base64_bytes)
+            )
+        raise field.InputError(f"unknown event {name[:40]!r}")
 
-    def after(self, event):
-        """Called when the module has had the batch: forget what is over."""
-        if type(event) is ours.CallerAbandoned:
-            self.over[event.call] = True
-        if type(event) in (ours.CallerAbandoned, ours.SeizureEnded) and self.call_ids[event.call] is not None:
-            self._settle(event.call)
+    def after_event(self, event):
+        """Called once the module has handled the batch; frees the index of a call that is over."""
+        if type(event) is io.CallerAbandoned:
+            self.call_over[event.call] = True
+        if type(event) in (io.CallerAbandoned, io.SeizureEnded) and self.call_ids[event.call] is not None:
+            self._free_if_done(event.call)
 
-    def line(self, proxy, action):
+    def action_line(self, proxy, action):
         kind = type(action)
-        if kind is ours.Seize:
-            self.out[action.call] += 1
-            return frames.line(
+        if kind is io.Seize:
+            self.outstanding[action.call] += 1
+            return frames.format_line(
                 "DELIVER",
                 proxy=proxy,
                 tid=self.call_ids[action.call],
                 server=self.server_ids[action.server],
-                timeoutMs=frames.ms(action.timeout_us),
+                timeoutMs=frames.format_ms(action.timeout_us),
             )
-        if kind is ours.SetTimer:
-            return frames.line("REMIND", proxy=proxy, momentMs=frames.ms(action.at_us), ctx=action.token)
-        if kind is ours.Log:
-            return frames.line("NOTE_DOWN", proxy=proxy, reasonText=action.text)
-        if kind is ours.SubscribeList:
-            return frames.line("FOLLOW", proxy=proxy, active=1)
+        if kind is io.SetTimer:
+            return frames.format_line("REMIND", proxy=proxy, momentMs=frames.format_ms(action.at_us), ctx=action.token)
+        if kind is io.Log:
+            return frames.format_line("NOTE_DOWN", proxy=proxy, reasonText=action.text)
+        if kind is io.SubscribeList:
+            return frames.format_line("FOLLOW", proxy=proxy, active=1)
         tid = self.call_ids[action.call]
-        if kind is ours.Cancel:
-            return frames.line("CANCEL", proxy=proxy, tid=tid, copy=action.seizure)
-        self._over(action.call)
-        if kind is ours.Reject:
-            return frames.line("SAY_NO", proxy=proxy, tid=tid, backoffMs=frames.ms(action.comeback_us))
-        return frames.line("ABORT", proxy=proxy, tid=tid)
+        if kind is io.Cancel:
+            return frames.format_line("CANCEL", proxy=proxy, tid=tid, copy=action.seizure)
+        self._end_call(action.call)
+        if kind is io.Reject:
+            return frames.format_line("SAY_NO", proxy=proxy, tid=tid, backoffMs=frames.format_ms(action.comeback_us))
+        return frames.format_line("ABORT", proxy=proxy, tid=tid)
 
 
-def entry(fields):
-    """One ITEM of a DEFINE_LIST: server, pool, state, start."""
-    state = f.need(fields, "lifecycle", f.string)
+def list_entry(fields):
+    """One ITEM of a DEFINE_LIST as (server, pool, state, start)."""
+    state = field.required(fields, "lifecycle", field.string)
     if state not in STATES:
-        raise f.InputError(f"unknown lifecycle {state[:40]!r}")
+        raise field.InputError(f"unknown lifecycle {state[:40]!r}")
     return (
-        f.need(fields, "server", f.whole),
-        f.need(fields, "nodeNo", f.whole),
+        field.required(fields, "server", field.integer),
+        field.required(fields, "nodeNo", field.integer),
         STATES[state],
-        f.maybe(fields, "startedAtMs", f.micros, 0),
+        field.optional(fields, "startedAtMs", field.ms_to_us, 0),
     )
--- a/thorndale/fields.py
+++ b/thorndale/fields.py
@@ -1,28 +1,28 @@
-"""Typed reading of named values of a text protocol; what cannot be read is named. No meaning, no ids."""
+"""Typed parsing of the named values of a text protocol; errors name the field. Knows no field's meaning and no ids."""
 
 import base64
 import binascii
 
 
 class InputError(Exception):
-    """Something on the wire cannot be read; the text says what."""
+    """Input cannot be parsed; the text names the field and the reason."""
 
 
-def need(fields, key, parse):
+def required(fields, key, parse):
     if key not in fields:
-        raise InputError(f"needed field '{key}' is missing")
+        raise InputError(f"required field '{key}' is missing")
     return parse(key, fields[key])
 
 
-def maybe(fields, key, parse, default):
+def optional(fields, key, parse, default):
     return parse(key, fields[key]) if key in fields else default
 
 
-def whole(key, text):
+def integer(key, text):
     try:
         value = int(text)
     except ValueError:
-        raise InputError(f"'{key}' is no whole number: {text[:40]!r}") from None
+        raise InputError(f"'{key}' is not an integer: {text[:40]!r}") from None
     return value
 
 
@@ -36,11 +36,11 @@
     return value
 
 
-def micros(key, text):
+def ms_to_us(key, text):
     return round(number(key, text) * 1000)
 
 
-def flag(key, text):
+def boolean(key, text):
     if text in ("1", "true"):
         return True
     if text in ("0", "false"):
@@ -48,30 +48,30 @@
     raise InputError(f"'{key}' is neither 1 nor 0: {text[:40]!r}")
 
 
-def hexkey(key, text):
+def hexadecimal(key, text):
     try:
         return int(text, 16)
     except ValueError:
-        raise InputError(f"'{key}' is no hex number: {text[:40]!r}") from None
+        raise InputError(f"'{key}' is not a hexadecimal number: {text[:40]!r}") from None
 
 
 def string(key, text):
     return text
 
 
-def octets(key, text):
+def base64_bytes(key, text):
     try:
         return b"" if text == "-" else base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
-        raise InputError(f"'{key}' is no base64: {text[:40]!r}") from None
+        raise InputError(f"'{key}' is not base64: {text[:40]!r}") from None
 
 
-def pairs(key, text):
-    """name:value pairs set apart by commas, values numbers."""
-    found = {}
-    for part in text.split(",") if text else ():
-        name, colon, value = part.partition(":")
+def number_pairs(key, text):
+    """Parses name:value pairs separated by commas; the values are numbers."""
+    values = {}
+    for pair in text.split(",") if text else ():
+        name, colon, value = pair.partition(":")
         if not colon:
-            raise InputError(f"'{key}' holds a pair without ':': {part[:40]!r}")
-        found[name] = number(f"{key}.{name}", value)
-    return found
+            raise InputError(f"'{key}' holds a pair without ':': {pair[:40]!r}")
+        values[name] = number(f"{key}.{name}", value)
+    return values
--- a/thorndale/settings.py
+++ b/thorndale/settings.py
@@ -1,32 +1,32 @@
-"""The platform's settings under our names, as the one plain map that the module is started with.
+"""Builds the plain settings map that the decision module is started with from the platform's settings.
 
-The simulator's wire gives them as flat pairs of path and text, a border proxy's configuration as nested JSON;
-`flat` brings the second into the form of the first, so that `module_settings` is the one builder of the map.
+The simulator's protocol gives the settings as flat pairs of path and text, a border proxy's configuration gives them as
+nested JSON. The nested form is flattened first, so that only `module_settings` builds the map.
 
-tick_us: how late an answer may come of the shell's own doing. instances: proxies of this fleet, this one included.
-type_*: by call type. client_quota: set-ups a second of all proxies, by client. list_asked: whether the list of
-servers must be subscribed to. Times are whole microseconds.
+tick_us: how much later the host process may deliver an answer than the module decides it. instances: proxies of this
+fleet, this one included. type_*: by call type. client_quota: set-ups a second of all proxies, by client. list_asked:
+whether the server list must be subscribed to. Times are whole microseconds.
 """
 
-from thorndale import fields as f
+from thorndale import fields as field
 
-LONGEST_US = 1_000_000_000_000  # us: no time of a setting is longer, some eleven days
+MAX_TIME_US = 1_000_000_000_000  # upper bound of the times in the settings: some eleven days
 
 
 def flat(value, path=""):
-    """Nested JSON as pairs of path and text: a list of plain values is joined by commas, any other list gives its
-    length under `.count` and its items under their numbers. Raises InputError for what is neither."""
+    """Nested JSON as pairs of path and text: a list of scalars is joined by commas, any other list gives its length
+    under `.count` and its items under their indices. Raises InputError for any other kind of value."""
     if isinstance(value, dict):
-        found = {}
+        pairs = {}
         for key, item in value.items():
-            found |= flat(item, f"{path}.{key}" if path else key)
-        return found
+            pairs |= flat(item, f"{path}.{key}" if path else key)
+        return pairs
     if isinstance(value, list):
         if any(isinstance(item, dict | list) for item in value):
-            found = {f"{path}.count": str(len(value))}
+            pairs = {f"{path}.count": str(len(value))}
             for n, item in enumerate(value):
-                found |= flat(item, f"{path}.{n}")
-            return found
+                pairs |= flat(item, f"{path}.{n}")
+            return pairs
         return {path: ",".join(_text(path, item) for item in value)}
     return {path: _text(path, value)}
 
@@ -38,62 +38,62 @@
         return "true" if value else "false"
     if isinstance(value, int | float | str):
         return str(value)
-    raise f.InputError(f"'{path}' is no plain value")
+    raise field.InputError(f"'{path}' is neither a scalar, a list nor an object")
 
 
-def _within(info, path, parse, least, most):
-    value = f.need(info, path, parse)
-    if not least <= value <= most:
-        raise f.InputError(f"'{path}' is {value}, which is not within {least} to {most}")
+def _in_range(info, path, parse, minimum, maximum):
+    value = field.required(info, path, parse)
+    if not minimum <= value <= maximum:
+        raise field.InputError(f"'{path}' is {value}, which is outside {minimum} to {maximum}")
     return value
 
 
-def _listed(info, path, parse, default=None):
-    """path.N.leaf for every N; a leaf left out takes the default."""
+def _per_item(info, path, parse, default=None):
+    """The values of path.N.leaf for every N; a missing leaf takes the default, or is an error if there is none."""
     base, leaf = path.split("[].")
-    count = f.maybe(info, f"{base}.count", f.whole, 0)
+    count = field.optional(info, f"{base}.count", field.integer, 0)
     if default is None:
-        return [f.need(info, f"{base}.{n}.{leaf}", parse) for n in range(count)]
-    return [f.maybe(info, f"{base}.{n}.{leaf}", parse, default) for n in range(count)]
+        return [field.required(info, f"{base}.{n}.{leaf}", parse) for n in range(count)]
+    return [field.optional(info, f"{base}.{n}.{leaf}", parse, default) for n in range(count)]
 
 
 def module_settings(info):
-    """The wire's settings under our names, as one plain map; a needed one that is missing is named."""
-    pools = f.maybe(info, "familyInfo.skilledPools.count", f.whole, 0)
+    """The decision module's settings map from flat pairs. Raises InputError that names a missing or invalid setting."""
+    pool_lists = field.optional(info, "familyInfo.skilledPools.count", field.integer, 0)
     return {
-        "tick_us": _within(info, "tickMs", f.micros, 1, 60_000_000),
-        "instances": _within(info, "nInstances", f.whole, 1, 1_000_000),
-        "type_target_us": _listed(info, "classes[].goalTimeMs", f.micros),
-        "type_guard_us": _listed(info, "classes[].giveUpMs", f.micros),
+        "tick_us": _in_range(info, "tickMs", field.ms_to_us, 1, 60_000_000),
+        "instances": _in_range(info, "nInstances", field.integer, 1, 1_000_000),
+        "type_target_us": _per_item(info, "classes[].goalTimeMs", field.ms_to_us),
+        "type_guard_us": _per_item(info, "classes[].giveUpMs", field.ms_to_us),
         "type_hold_us": [
-            f.micros("familyInfo.classHoldMs", hold)
+            field.ms_to_us("familyInfo.classHoldMs", hold)
             for hold in info.get("familyInfo.classHoldMs", "").split(",")
             if hold
         ],
-        "type_revenue": _listed(info, "classes[].worth", f.number),
-        "type_late_part": _listed(info, "classes[].lateWorth", f.number, 0.0),
+        "type_revenue": _per_item(info, "classes[].worth", field.number),
+        "type_late_part": _per_item(info, "classes[].lateWorth", field.number, 0.0),
         "type_pools": [
             [
-                f.whole("familyInfo.skilledPools", p)
-                for p in info.get(f"familyInfo.skilledPools.{n}", "").split(",")
-                if p
+                field.integer("familyInfo.skilledPools", pool)
+                for pool in info.get(f"familyInfo.skilledPools.{n}", "").split(",")
+                if pool
             ]
-            for n in range(pools)
+            for n in range(pool_lists)
         ],
-        "client_quota": _listed(info, "tenants[].quotaPerS", f.number),
-        "over_quota_part": f.maybe(info, "overShareWorth", f.number, 1.0),
-        "release_us": _within(info, "familyInfo.guardMs", f.micros, 0, LONGEST_US),
-        "resend_us": f.maybe(info, "familyInfo.repeatMs", f.micros, 0),
-        "seizures_max": _within(info, "ceilings.sendCap", f.whole, 1, 1000),
-        "open_max": _within(info, "ceilings.mostHeld", f.whole, 1, 1 << 40),
-        "may_cancel": f.maybe(info, "ceilings.mayCancel", f.flag, False),
-        "comeback_told": f.maybe(info, "ceilings.retryAfter", f.flag, False),
-        "comeback_max_us": f.maybe(info, "ceilings.maxRetryAfterMs", f.micros, 0),
-        "drain_grace_us": _within(info, "rules.drainGraceMs", f.micros, 0, LONGEST_US),
-        "start_capacity": _within(info, "rules.startCapacity", f.number, 0, 1),
-        "warm_up_us": _within(info, "rules.warmUpMs", f.micros, 1, LONGEST_US),
-        "fall_multiple": _within(info, "rules.fallMultiple", f.number, 0, 1e6),
-        "fall_us": _within(info, "rules.fallMs", f.micros, 1, LONGEST_US),
+        "client_quota": _per_item(info, "tenants[].quotaPerS", field.number),
+        "over_quota_part": field.optional(info, "overShareWorth", field.number, 1.0),
+        "release_us": _in_range(info, "familyInfo.guardMs", field.ms_to_us, 0, MAX_TIME_US),
+        "resend_us": field.optional(info, "familyInfo.repeatMs", field.ms_to_us, 0),
+        "seizures_max": _in_range(info, "ceilings.sendCap", field.integer, 1, 1000),
+        "open_max": _in_range(info, "ceilings.mostHeld", field.integer, 1, 1 << 40),
+        "may_cancel": field.optional(info, "ceilings.mayCancel", field.boolean, False),
+        "comeback_told": field.optional(info, "ceilings.retryAfter", field.boolean, False),
+        "comeback_max_us": field.optional(info, "ceilings.maxRetryAfterMs", field.ms_to_us, 0),
+        "drain_grace_us": _in_range(info, "rules.drainGraceMs", field.ms_to_us, 0, MAX_TIME_US),
+        "start_capacity": _in_range(info, "rules.startCapacity", field.number, 0, 1),
+        "warm_up_us": _in_range(info, "rules.warmUpMs", field.ms_to_us, 1, MAX_TIME_US),
+        "fall_multiple": _in_range(info, "rules.fallMultiple", field.number, 0, 1e6),
+        "fall_us": _in_range(info, "rules.fallMs", field.ms_to_us, 1, MAX_TIME_US),
         "list_asked": info.get("discovery") == "subscribe",
-        "fleet_rights": False,  # proxies on these fronts know no others
+        "fleet_rights": False,  # proxies on these platforms do not communicate with each other
     }
--- a/thorndale/sites/__init__.py
+++ b/thorndale/sites/__init__.py
@@ -1,6 +1,6 @@
-"""Losing a site: which site a call is offered to, how much of a lost site's traffic another takes, and how a returned
-one is used again. Pure: no I/O, clock or chance of its own.
+"""Site failover: which site each call is offered to, how much of a lost site's traffic the other sites accept, and how
+a site that has recovered returns to use. Pure: no I/O, no clock and no random source of its own.
 
-`router.Sites` is the package's entry point and stands where the module stands. It offers each call to one site at a
-time, and the module decides the rest: server, seizures, retries, press and pace. See docs/sites.md.
+The router is the package's entry point and has the same interface as the decision module. It offers each call to one
+site at a time; the module decides the rest: server, seizures, retries, overload control and pacing. See docs/sites.md.
 """
--- a/thorndale/sites/health.py
+++ b/thorndale/sites/health.py
@@ -1,115 +1,124 @@
-"""Whether a site takes calls, by what became of the calls offered to it and by the list.
+"""Whether a site accepts calls, based on the outcomes of the calls offered to it and on the server list.
 
-A site is UP, DARK until a drawn moment, or BACK: on trial, where each answer lets two more calls go, so that use grows
-by what the site really answers. A sequential test judges each of its servers; a site is dark once none is left that
-the list holds to be serving and the test does not hold to be lost. One dead server of three, with all the calls that
-it cuts at once, is the module's matter and leaves the site in use.
+A site is UP, DARK until a random moment, or ON_TRIAL. On trial each answer admits two more calls, so that use grows
+with what the site really answers. A sequential test judges each server of the site; a site is dark once none is left
+that the list reports as serving and the test does not consider failed. If one server of three fails and cuts all its
+calls at once, the decision module handles it and the site stays in use.
 """
 
 from math import log
 
-UP, DARK, BACK = range(3)
+UP, DARK, ON_TRIAL = range(3)
 
-# All constants. us = microseconds.
-BAD_ODDS, GOOD_ODDS = 0.9, 0.05  # chance of a lost seizure at a lost and at a sound server: far apart
-LOST_AT = 4.0  # log odds that call a server lost: two losses with no answer between, as in the module
-SCORE_MOST = 8.0  # log odds kept at most, so that a few answers clear it
-CUT_PART = 0.9  # of a loss: a call that stood and was cut; more than its answer counted, or a site that cuts stays up
-HOLD_US = 2_000_000  # us of the first hold: past the module's skip and a proxy's stand-still
-HOLD_MOST_US = 16_000_000  # us of the longest: a dark or flapping site costs each proxy a call in that time
-CALM_US = 30_000_000  # us in use after which one doubling of the hold is taken back
-TOLD_US = 1_000_000  # us within which each proxy tries a site that the list tells of anew, at a drawn moment
-GRANTED = 2  # calls that each call that stands lets go on trial: use doubles in each time that a set-up takes
-FULL_USE_US = 3_000_000  # us for which no call may have lacked a grant before a site is held to be up
-TRIAL_US = 1_000_000  # us on trial without a grant after which one more call may try: the last may never be told of
-GRANTS_MOST = 64.0  # grants kept unused at most: a burst of one proxy
+# Probability that a seizure is lost at a failed and at a healthy server: far apart, so that few seizures decide.
+LOSS_RATE_FAILED, LOSS_RATE_HEALTHY = 0.9, 0.05
+FAILED_LOG_ODDS = 4.0  # a server is failed from here: two losses with no answer between them, as in the module
+MAX_LOG_ODDS = 8.0  # upper bound, so that a few answers clear a server
+CUT_CALL_WEIGHT = 0.9  # share of a loss; above the weight of the call's answer, or a site that cuts calls stays up
+FIRST_HOLD_US = 2_000_000  # longer than the module's skip time and than a stall of a proxy
+MAX_HOLD_US = 16_000_000  # a dark or flapping site costs each proxy one call in that time
+HOLD_DECAY_US = 30_000_000  # time in use after which one doubling of the hold is undone
+LISTED_TRIAL_SPREAD_US = 1_000_000  # proxies try a site that the list reports again at random moments within this time
+GRANTS_PER_ANSWER = 2  # calls that each answered call admits on trial: use doubles in each set-up time
+FULL_USE_US = 3_000_000  # a site is up once no call has lacked a grant for this long
+TRIAL_INTERVAL_US = 1_000_000  # without a grant, one more trial call: the last one's outcome may never be reported
+MAX_GRANTS = 64.0  # unused grants kept: a burst at one proxy
 
 
-class Site:
-    """One site as one proxy sees it. `chance()` gives a share from 0 to 1."""
+class SiteHealth:
+    """The health of one site as one proxy estimates it. `random()` gives a number from 0 to 1."""
 
     __slots__ = (
-        "chance",
+        "random",
         "state",
-        "scores",
-        "until",
-        "doubled",
-        "calm_at",
+        "log_odds",
+        "dark_until",
+        "hold_doublings",
+        "up_since",
         "grants",
-        "lacked_at",
-        "answered_at",
-        "tried_at",
-        "back_at",
+        "grant_lacked_at",
+        "last_answer_at",
+        "last_trial_at",
+        "trial_began_at",
     )
 
-    def __init__(self, chance):
-        self.chance, self.state, self.until = chance, UP, 0
-        self.scores = {}  # log odds that it is lost, by server that the list holds to be serving
-        self.doubled, self.calm_at = 0, 0  # times that the hold was doubled; since when it is in use without a loss
-        self.grants, self.lacked_at, self.answered_at, self.tried_at, self.back_at = 0.0, 0, -1, 0, 0
+    def __init__(self, random):
+        self.random, self.state, self.dark_until = random, UP, 0
+        self.log_odds = {}  # log odds that a server has failed, for each that the list reports as serving
+        self.hold_doublings, self.up_since = 0, 0
+        self.grants, self.grant_lacked_at, self.last_answer_at, self.last_trial_at, self.trial_began_at = (
+            0.0,
+            0,
+            -1,
+            0,
+            0,
+        )
 
-    def listed(self, now, serving, anew):
-        """The list: servers serving now; `anew`: those of them that were not before, or have started again."""
-        had = bool(self.scores)
-        self.scores = {s: 0.0 if s in anew else self.scores.get(s, 0.0) for s in serving}
-        if had and not serving:
-            self._dark(now)
-        elif anew and self.state == DARK:
-            self.until = min(self.until, now + int(TOLD_US * self.chance()))
+    def update_servers(self, now, serving, restarted):
+        """Applies the list: the servers serving now; `restarted`: those of them that were not serving before or have
+        started again."""
+        had_servers = bool(self.log_odds)
+        self.log_odds = {s: 0.0 if s in restarted else self.log_odds.get(s, 0.0) for s in serving}
+        if had_servers and not serving:
+            self._go_dark(now)
+        elif restarted and self.state == DARK:
+            self.dark_until = min(self.dark_until, now + int(LISTED_TRIAL_SPREAD_US * self.random()))
 
-    def answered(self, now, server):
-        self.answered_at = now
-        if self.state == DARK or server not in self.scores:
-            return  # of a call that went before: no proof that a next one would be
-        self.scores[server] = max(0.0, self.scores[server] + log((1 - BAD_ODDS) / (1 - GOOD_ODDS)))
-        if self.state == BACK:
-            self.grants = min(GRANTS_MOST, self.grants + GRANTED)
+    def record_answer(self, now, server):
+        self.last_answer_at = now
+        if self.state == DARK or server not in self.log_odds:
+            return  # of a call offered earlier: no evidence that the next one would be answered
+        self.log_odds[server] = max(0.0, self.log_odds[server] + log((1 - LOSS_RATE_FAILED) / (1 - LOSS_RATE_HEALTHY)))
+        if self.state == ON_TRIAL:
+            self.grants = min(MAX_GRANTS, self.grants + GRANTS_PER_ANSWER)
 
-    def lost(self, now, server, part=1.0):
-        """A seizure that was lost; `part`: a cut call's share of a loss."""
-        if self.state == DARK or server not in self.scores:
+    def record_loss(self, now, server, weight=1.0):
+        """Records a lost seizure; `weight`: the share of a loss that a cut call counts for."""
+        if self.state == DARK or server not in self.log_odds:
             return
-        self.scores[server] = min(SCORE_MOST, self.scores[server] + part * log(BAD_ODDS / GOOD_ODDS))
-        in_vain = self.state == BACK and self.answered_at < self.back_at  # the first trial itself
-        if in_vain or min(self.scores.values()) >= LOST_AT:
-            self._dark(now)
+        self.log_odds[server] = min(
+            MAX_LOG_ODDS, self.log_odds[server] + weight * log(LOSS_RATE_FAILED / LOSS_RATE_HEALTHY)
+        )
+        trial_failed = self.state == ON_TRIAL and self.last_answer_at < self.trial_began_at  # the first trial call
+        if trial_failed or min(self.log_odds.values()) >= FAILED_LOG_ODDS:
+            self._go_dark(now)
 
-    def unsent(self):
-        """The module sent a call nowhere that this site took: its grant is kept for the next."""
-        if self.state == BACK:
-            self.grants = min(GRANTS_MOST, self.grants + 1.0)
+    def return_grant(self):
+        """The module did not send a call that this site admitted: its grant stays available for the next one."""
+        if self.state == ON_TRIAL:
+            self.grants = min(MAX_GRANTS, self.grants + 1.0)
 
-    def unanswered(self, now, server, lag):
-        """A seizure that had no answer for so long: a loss unless the site has answered another meanwhile, for then
-        it is slow or lost that one alone, which is the module's matter."""
-        if self.answered_at < now - lag:
-            self.lost(now, server)
+    def record_timeout(self, now, server, elapsed_us):
+        """Records a seizure left unanswered for `elapsed_us`. It is a loss unless the site has answered another call
+        meanwhile: then the site is slow or has lost only this call, which the module handles."""
+        if self.last_answer_at < now - elapsed_us:
+            self.record_loss(now, server)
 
-    def _dark(self, now):
-        if self.state == UP and now - self.calm_at >= CALM_US:
-            self.doubled = max(0, self.doubled - (now - self.calm_at) // CALM_US)
-        hold = min(HOLD_MOST_US, HOLD_US << min(self.doubled, 10))
-        self.state, self.doubled = DARK, self.doubled + 1
-        self.until = now + int(hold * (1 + self.chance()) / 2)  # or the fleet would come back in step
+    def _go_dark(self, now):
+        if self.state == UP and now - self.up_since >= HOLD_DECAY_US:
+            self.hold_doublings = max(0, self.hold_doublings - (now - self.up_since) // HOLD_DECAY_US)
+        hold = min(MAX_HOLD_US, FIRST_HOLD_US << min(self.hold_doublings, 10))
+        self.state, self.hold_doublings = DARK, self.hold_doublings + 1
+        self.dark_until = now + int(hold * (1 + self.random()) / 2)  # random, or the whole fleet would return in step
 
-    def takes(self, now):
-        """Whether a call may be offered to it now, asked once for each: uses a grant on trial."""
-        if not self.scores:
+    def admit(self, now):
+        """Whether a call may be offered to the site now; called once for each call, since it uses a grant on trial."""
+        if not self.log_odds:
             return False
         if self.state == UP:
             return True
         if self.state == DARK:
-            if now < self.until:
+            if now < self.dark_until:
                 return False
-            self.state, self.grants, self.lacked_at, self.back_at = BACK, 1.0, now, now
-            self.scores = dict.fromkeys(self.scores, 0.0)
-        if self.grants < 1.0 and now - self.tried_at >= TRIAL_US:
+            self.state, self.grants, self.grant_lacked_at, self.trial_began_at = ON_TRIAL, 1.0, now, now
+            self.log_odds = dict.fromkeys(self.log_odds, 0.0)
+        if self.grants < 1.0 and now - self.last_trial_at >= TRIAL_INTERVAL_US:
             self.grants = 1.0
         if self.grants < 1.0:
-            self.lacked_at = now
+            self.grant_lacked_at = now
             return False
-        self.tried_at = now
+        self.last_trial_at = now
         self.grants -= 1.0
-        if now - self.lacked_at >= FULL_USE_US and self.grants >= 1.0:
-            self.state, self.calm_at = UP, now
+        if now - self.grant_lacked_at >= FULL_USE_US and self.grants >= 1.0:
+            self.state, self.up_since = UP, now
         return True
--- a/thorndale/sites/planner.py
+++ b/thorndale/sites/planner.py
@@ -1,8 +1,9 @@
-"""What to let spill where, for each loss of a site or server: the shares that lose least revenue, as a linear program
-(HiGHS, by highspy), and the constraint that holds them down. Pure: values in, values out.
+"""Plans the overflow between sites for the loss of a site or server: a linear program (HiGHS, through highspy) finds
+the distribution that loses the least revenue and names the limiting constraints. Pure: values in, values out.
 
-A call a second of type t from origin o offered to site s takes one set-up of that site's capacity and t's mean length
-of its lines. Capacities of a site are the sums of its servers'; within a site the module shares them out.
+One call a second of type t from origin o at site s uses one set-up a second of that site's capacity and as many of its
+lines as t's mean length in seconds. The capacity of a site is the sum over its servers; within a site the decision
+module distributes the calls.
 """
 
 from typing import NamedTuple
@@ -11,9 +12,9 @@
 
 from thorndale.sites.plan import SitesError
 
-SMALL = 1e-6  # calls a second below which a figure is the solver's rounding
-FARTHER = 1e-4  # revenue a call less for each step away from home: among equal plans the one that moves least
-SLACK = 1e6  # revenue a call that a slack costs: more than any call's, so that only what cannot be kept is given up
+ROUNDING_PER_S = 1e-6  # calls a second below which a value is the solver's rounding
+DISTANCE_PENALTY = 1e-4  # revenue a call for each step away from the own site: among equal plans the least moves wins
+SLACK_PENALTY = 1e6  # revenue a call, above that of any call: only a constraint that cannot be met is relaxed
 
 
 class Capacity(NamedTuple):
@@ -26,7 +27,7 @@
 
 class Load(NamedTuple):
     """`offered[t][o]`: calls a second of type t from origin site o. `hold_s`, `revenue`: by type. `order[t][o]`: the
-    sites that such a call may be offered to. `keep_own`: part of each standing site's own calls that must be served."""
+    sites that such a call may be offered to. `keep_own`: share of its own calls that each remaining site must serve."""
 
     offered: list
     hold_s: list
@@ -36,8 +37,8 @@
 
 
 class Plan(NamedTuple):
-    """`served[t][o][s]`: calls a second. `outside[s]`: set-ups a second that s takes of other sites' calls.
-    `earned`, `wished`: revenue a second. `bottlenecks`: (text, revenue a second that one more unit would bring)."""
+    """`served[t][o][s]`: calls a second. `outside[s]`: set-ups a second of other sites' calls at s.
+    `earned`, `wished`: revenue a second. `bottlenecks`: (text, revenue a second that one unit more adds)."""
 
     served: list
     outside: list
@@ -47,66 +48,68 @@
 
 
 def plan(servers, load, sites, lost_site=None, lost_server=None):
-    """The Plan for one loss (or none). `servers` is {name: Capacity}, `sites` the names. Raises SitesError that says
-    which constraint cannot be kept."""
+    """The Plan for one loss (or none). `servers` is {name: Capacity}, `sites` the names. Raises SitesError that names
+    the constraints that cannot be met."""
     up = {n: c for n, c in servers.items() if n != lost_server and c.site != lost_site}
-    program = _Program(up, load, sites, lost_site)
+    program = _LinearProgram(up, load, sites, lost_site)
     if not program.solve():
-        kept = _Program(up, load, sites, lost_site, slack=True)
-        if not kept.solve():
-            raise SitesError(f"the plan has no solution and none could be made of it: {kept.status()}")
-        raise SitesError("the plan has no solution: " + "; ".join(kept.broken()))
+        relaxed = _LinearProgram(up, load, sites, lost_site, slack=True)
+        if not relaxed.solve():
+            raise SitesError(f"the plan has no solution, even with relaxed constraints: {relaxed.status()}")
+        raise SitesError("the plan has no solution: " + "; ".join(relaxed.violated()))
     return program.plan()
 
 
-class _Program:
+class _LinearProgram:
     def __init__(self, up, load, sites, lost, slack=False):
         self.load, self.sites, self.highs = load, sites, highspy.Highs()
         self.highs.setOptionValue("output_flag", False)
-        self.rows, self.slacks, self.ways = [], [], {}
-        standing = sorted({c.site for c in up.values()})
+        self.constraint_names, self.slacks, self.flows = [], [], {}
+        remaining = sorted({c.site for c in up.values()})
         add = self.highs.addVariable
         for t, origins in enumerate(load.offered):
             for o, offered in enumerate(origins):
                 for step, s in enumerate(load.order[t][o]):
-                    if s in standing:
-                        self.ways[t, o, s] = add(0, offered, load.revenue[t] - FARTHER * step)
+                    if s in remaining:
+                        self.flows[t, o, s] = add(0, offered, load.revenue[t] - DISTANCE_PENALTY * step)
         for t, origins in enumerate(load.offered):
             for o, offered in enumerate(origins):
-                mine = [v for (t_, o_, _), v in self.ways.items() if (t_, o_) == (t, o)]
-                if mine:
-                    self._row(f"what is offered of type {t} from {sites[o]}", sum(mine), offered)
-        for s in standing:
-            here = [(k, v) for k, v in self.ways.items() if k[2] == s]
+                of_origin = [v for (t_, o_, _), v in self.flows.items() if (t_, o_) == (t, o)]
+                if of_origin:
+                    self._add_limit(f"calls offered of type {t} from {sites[o]}", sum(of_origin), offered)
+        for s in remaining:
+            here = [(k, v) for k, v in self.flows.items() if k[2] == s]
             if not here:
                 continue
-            of = [c for c in up.values() if c.site == s]
-            self._row(f"set-ups a second at {sites[s]}", sum(v for _, v in here), sum(c.per_s for c in of))
-            self._row(f"lines at {sites[s]}", sum(v * load.hold_s[k[0]] for k, v in here), sum(c.lines for c in of))
+            servers = [c for c in up.values() if c.site == s]
+            self._add_limit(f"set-ups a second at {sites[s]}", sum(v for _, v in here), sum(c.per_s for c in servers))
+            self._add_limit(
+                f"lines at {sites[s]}", sum(v * load.hold_s[k[0]] for k, v in here), sum(c.lines for c in servers)
+            )
         if load.keep_own:
-            for s in standing:
-                self._keep(s, load.keep_own, slack)
+            for s in remaining:
+                self._require_own_share(s, load.keep_own, slack)
 
-    def _keep(self, s, part, slack):
-        own = [v for (_, o, at), v in self.ways.items() if o == s and at == s]
-        least = part * sum(row[s] for t, row in enumerate(self.load.offered) if s in self.load.order[t][s])
+    def _require_own_share(self, s, share, slack):
+        own = [v for (_, o, at), v in self.flows.items() if o == s and at == s]
+        least = share * sum(row[s] for t, row in enumerate(self.load.offered) if s in self.load.order[t][s])
         if not own:
             return
-        kept = sum(own)
+        served = sum(own)
         if slack:
-            given = self.highs.addVariable(0, highspy.kHighsInf, -SLACK)
-            said = f"{self.sites[s]} cannot serve {part:g} of its own {least / part:g} calls a second"
-            self.slacks.append((said, given))
-            kept = kept + given
-        self.highs.addConstr(kept >= least)
-        self.rows.append("")
+            missing = self.highs.addVariable(0, highspy.kHighsInf, -SLACK_PENALTY)
+            text = f"{self.sites[s]} cannot serve {share:g} of its own {least / share:g} calls a second"
+            self.slacks.append((text, missing))
+            served = served + missing
+        self.highs.addConstr(served >= least)
+        self.constraint_names.append("")
 
-    def _row(self, text, sum_, most):
-        self.highs.addConstr(sum_ <= most)
-        self.rows.append(text)
+    def _add_limit(self, text, total, limit):
+        self.highs.addConstr(total <= limit)
+        self.constraint_names.append(text)
 
     def solve(self):
-        if not self.ways:  # nothing stands that could take anything
+        if not self.flows:  # no remaining site accepts any call
             return True
         self.highs.changeObjectiveSense(highspy.ObjSense.kMaximize)
         self.highs.run()
@@ -115,12 +118,12 @@
     def status(self):
         return self.highs.modelStatusToString(self.highs.getModelStatus())
 
-    def broken(self):
+    def violated(self):
         values = self.highs.getSolution().col_value
         return [
-            f"{text}, {values[given.index]:.3g} are missing"
-            for text, given in self.slacks
-            if values[given.index] > SMALL
+            f"{text}, {values[missing.index]:.3g} are missing"
+            for text, missing in self.slacks
+            if values[missing.index] > ROUNDING_PER_S
         ]
 
     def plan(self):
@@ -128,16 +131,16 @@
         solution = self.highs.getSolution()
         served = [[[0.0] * count for _ in row] for row in load.offered]
         outside = [0.0] * count
-        for (t, o, s), way in self.ways.items():
-            value = solution.col_value[way.index]
-            value = value if value > SMALL else 0.0
-            served[t][o][s] = value
+        for (t, o, s), flow in self.flows.items():
+            rate = solution.col_value[flow.index]
+            rate = rate if rate > ROUNDING_PER_S else 0.0
+            served[t][o][s] = rate
             if s != o:
-                outside[s] += value
+                outside[s] += rate
         duals = [
             (text, abs(dual))
-            for text, dual in zip(self.rows, solution.row_dual, strict=True)
-            if text and "offered" not in text and abs(dual) > SMALL
+            for text, dual in zip(self.constraint_names, solution.row_dual, strict=True)
+            if text and "offered" not in text and abs(dual) > ROUNDING_PER_S
         ]
         earned = sum(r * sum(map(sum, rows)) for r, rows in zip(load.revenue, served, strict=True))
         wished = sum(r * sum(row) for r, row in zip(load.revenue, load.offered, strict=True))
--- a/thorndale/sites/spill.py
+++ b/thorndale/sites/spill.py
@@ -1,70 +1,75 @@
-"""How much of what its own site does not take this proxy may offer to another, so that the sum over all proxies keeps
-to what that site takes from outside.
+"""How many of the calls that their own site does not accept this proxy may offer to another site, so that the sum over
+all proxies stays within what that site accepts from outside.
 
-A proxy's part goes by its part of the lost site's calls, which it knows from its own calls standing there and the lines
-in use that the servers tell to all; where none are told, by the number of proxies. Highest revenue first.
+Each proxy gets the share of this limit that it has of the lost site's calls. It computes that share from its own
+established calls there and the lines in use that the servers report to all proxies; without such reports, from the
+number of proxies. Calls of the highest revenue go first.
 """
 
-CREDIT_US = 1_500_000  # us for which the part not used is kept: some calls of one proxy in a fleet of hundreds, and
-# no more than that may come at once from all
-TRAFFIC_US = 5_000_000  # us over which this proxy's part of a site's calls is reckoned: half the design's window
-MIX_PART = 0.02  # weight of a call in the mix of revenues that would spill: some fifty, or the dear ones are chance
-TURNED_PART = 0.05  # weight of an own call in the share turned away: some twenty, a few seconds of one proxy
-TURNED_NONE, TURNED_ALL = 0.05, 0.5  # share of own calls turned away below which nothing, and at which all that comes
-# from outside gives way; wide, or the fleet would swing
+# How long an unused share is kept as credit: enough for some calls of one proxy in a fleet of hundreds, and the most
+# that all proxies may send at once.
+MAX_CREDIT_US = 1_500_000
+SHARE_WINDOW_US = 5_000_000  # window of this proxy's share of a site's calls: half the retry budget's window
+MIX_WEIGHT = 0.02  # of a call in the revenue mix: some fifty calls, or the share of high-revenue calls is random noise
+REJECTED_WEIGHT = 0.05  # of an own call in the rejected share: some twenty calls, a few seconds of one proxy
+# Rejected share of a site's own calls from which overflow is reduced, and at which it stops; a wide range, or the fleet
+# would oscillate.
+REJECTED_SHARE_REDUCE, REJECTED_SHARE_STOP = 0.05, 0.5
 
 
-class Part:
-    """This proxy's part of a site's calls, from its own standing there and the lines in use told there."""
+class FleetShare:
+    """This proxy's share of the calls at a site, from its own established calls and the lines in use reported there."""
 
-    __slots__ = ("value", "at", "used")
+    __slots__ = ("value", "updated_at", "lines_in_use")
 
     def __init__(self, instances):
-        self.value, self.at, self.used = 1.0 / max(1, instances), 0, {}
+        self.value, self.updated_at, self.lines_in_use = 1.0 / max(1, instances), 0, {}
 
-    def told(self, server, used):
-        self.used[server] = used
+    def report_lines(self, server, lines_in_use):
+        self.lines_in_use[server] = lines_in_use
 
-    def observe(self, now, standing):
-        """While the site is in use; what is known stays in force once it is not."""
-        used = sum(self.used.values())
-        if used > 0:
-            weight = min(1.0, (now - self.at) / TRAFFIC_US)
-            self.value += (min(1.0, standing / used) - self.value) * weight
-        self.at = now
+    def update(self, now, established):
+        """Called while the site is in use; the last value stays in force once it is not."""
+        lines_in_use = sum(self.lines_in_use.values())
+        if lines_in_use > 0:
+            weight = min(1.0, (now - self.updated_at) / SHARE_WINDOW_US)
+            self.value += (min(1.0, established / lines_in_use) - self.value) * weight
+        self.updated_at = now
 
 
-class Spill:
-    """What may go from outside to one site: `rate` set-ups a second of all proxies together."""
+class OverflowLimit:
+    """The limit on calls from other sites to one site: `rate` set-ups a second of all proxies together."""
 
-    __slots__ = ("rate", "chance", "turned", "credit", "at", "mix")
+    __slots__ = ("rate", "random", "rejected_share", "credit", "updated_at", "mix")
 
-    def __init__(self, rate, chance):
-        self.rate, self.chance, self.turned = rate / 1e6, chance, 0.0
-        self.credit, self.at, self.mix = 0.0, 0, {}  # mix: share of the calls that would spill, by revenue
+    def __init__(self, rate, random):
+        self.rate, self.random, self.rejected_share = rate / 1e6, random, 0.0
+        self.credit, self.updated_at, self.mix = 0.0, 0, {}  # mix: share of the overflowing calls, by revenue
 
-    def own(self, turned_away):
-        """A call of that site's own was sent on there, or turned away for want of room: then what comes from outside
-        gives way."""
-        self.turned += (turned_away - self.turned) * TURNED_PART
+    def record_own_call(self, rejected):
+        """Records whether a call of the site's own was rejected or sent on for lack of capacity; if so, calls from
+        outside give way."""
+        self.rejected_share += (rejected - self.rejected_share) * REJECTED_WEIGHT
 
-    def takes(self, now, part, revenue):
-        """Whether a call of this revenue may be offered there, asked once for each; `part`: this proxy's. The part
-        is kept as credit, which a draw uses up whatever comes of it: so the sum holds for five proxies and for five
-        hundred, whether their calls come apart or at once. What the dearer ones in the mix would take of it is not
-        for the cheaper."""
-        factor = min(1.0, max(0.0, (TURNED_ALL - self.turned) / (TURNED_ALL - TURNED_NONE)))
-        share = self.rate * factor * part
-        self.credit = min(self.credit + share * min(now - self.at, CREDIT_US), share * CREDIT_US)
-        self.at = now
-        self._mixed(revenue)
-        dearer = sum(share for other, share in self.mix.items() if other > revenue)
-        admitted = self.chance() * self.mix[revenue] < self.credit - dearer
+    def admit(self, now, fleet_share, revenue):
+        """Whether a call of this revenue may be offered to the site; called once for each call. `fleet_share`: this
+        proxy's share. The proxy's share of the limit accumulates as credit, and each attempt uses up credit whether or
+        not the call is admitted: so the sum holds for five proxies and for five hundred, whether their calls arrive
+        spread out or at once. Credit that the calls of higher revenue in the mix would use is reserved for them."""
+        factor = min(
+            1.0, max(0.0, (REJECTED_SHARE_STOP - self.rejected_share) / (REJECTED_SHARE_STOP - REJECTED_SHARE_REDUCE))
+        )
+        own_rate = self.rate * factor * fleet_share
+        self.credit = min(self.credit + own_rate * min(now - self.updated_at, MAX_CREDIT_US), own_rate * MAX_CREDIT_US)
+        self.updated_at = now
+        self._update_mix(revenue)
+        reserved = sum(share for other, share in self.mix.items() if other > revenue)
+        admitted = self.random() * self.mix[revenue] < self.credit - reserved
         self.credit = max(0.0, self.credit - 1.0)
         return admitted
 
-    def _mixed(self, revenue):
-        weight = MIX_PART if self.mix else 1.0
+    def _update_mix(self, revenue):
+        weight = MIX_WEIGHT if self.mix else 1.0
         self.mix.setdefault(revenue, 0.0)
         for other in self.mix:
             self.mix[other] += ((other == revenue) - self.mix[other]) * weight
--- a/thorndale/spread/__init__.py
+++ b/thorndale/spread/__init__.py
@@ -1,1 +1,2 @@
-"""How evenly a fleet used its central servers: counts in, figures out; decides nothing. No I/O, clock or chance."""
+"""How evenly a fleet used its central servers: takes counts, returns statistics; decides nothing. No I/O, no clock, no
+random source."""
--- a/thorndale/spread/gather.py
+++ b/thorndale/spread/gather.py
@@ -1,15 +1,15 @@
-"""The set-ups of many proxies from the lines of their logs, laid over each other by server and second."""
+"""Combines the set-ups that many proxies logged, by server and second."""
 
 import json
 from typing import NamedTuple
 
-LINES_MOST = 2_000_000  # lines of one file that are looked at
-FAR_S = 7 * 86_400  # seconds between the first and the last line that are put into one picture
+MAX_LINES = 2_000_000  # lines read of one file
+MAX_SPAN_S = 7 * 86_400  # longest time between the first and the last set-ups that are combined
 
 
 class Fleet(NamedTuple):
-    """`servers` in the order of their trunk groups; `groups` as many names; `rows` counts by server and second from
-    wall second `first` on; `parts`: by proxy and server (set-ups, share as last told, why)."""
+    """`servers` in the order of their trunk groups; `groups`: the trunk group of each; `rows`: counts by server and
+    second, from wall-clock second `first` on; `parts`: by proxy and server (set-ups, last logged share, why)."""
 
     first: int
     servers: list
@@ -25,39 +25,40 @@
 
 
 class LogError(Exception):
-    """A file that tells nothing; the text says why."""
+    """A file without usable set-ups; the text says why."""
 
 
 def told(lines):
-    """[(proxy, first second, rows)] of one log, and how many lines could not be read. Raises LogError where the file
-    is none of a proxy's, or has no such line."""
-    found, bad, sound = [], 0, 0
+    """[(proxy, first second, rows)] of one log, and the number of unreadable lines. Raises LogError if the file is not
+    a proxy's log or contains no set-ups."""
+    entries, unreadable, events = [], 0, 0
     for n, line in enumerate(lines):
-        if n >= LINES_MOST:
+        if n >= MAX_LINES:
             break
         try:
             event = json.loads(line)
         except ValueError:
-            bad += 1
+            unreadable += 1
             continue
         if not isinstance(event, dict) or "event" not in event:
-            bad += 1
+            unreadable += 1
             continue
-        sound += 1
+        events += 1
         if event["event"] == "set-ups":
-            row = _row(event)
-            if row is None:
-                bad += 1
+            entry = _entry(event)
+            if entry is None:
+                unreadable += 1
             else:
-                found.append(row)
-    if not sound:
-        raise LogError("is no log of a proxy: no line of JSON with an event")
-    if not found:
-        raise LogError("has no line on set-ups; its proxy set nothing up, or logs less than info")
-    return found, bad
+                entries.append(entry)
+    if not events:
+        raise LogError("is not a proxy's log: it has no line of JSON with an event")
+    if not entries:
+        raise LogError("has no set-ups; the proxy sent none, or its log level is above info")
+    return entries, unreadable
 
 
-def _row(event):
+def _entry(event):
+    """(proxy, first second, rows) of a set-ups event, or None if it is malformed."""
     proxy, second, rows = event.get("proxy"), event.get("second"), event.get("rows")
     if not isinstance(proxy, str) or not isinstance(second, int) or not isinstance(rows, list):
         return None
@@ -71,23 +72,23 @@
     return proxy, second, rows
 
 
-def gathered(lines):
-    """A Fleet of all that `told` gave, or None where there is nothing. What lies further than FAR_S behind the newest
-    is left out."""
-    if not lines:
+def gathered(entries):
+    """A Fleet from the entries of all logs, or None if there are none. Entries more than MAX_SPAN_S before the
+    newest are left out."""
+    if not entries:
         return None
-    last = max(second + max((len(row[2]) for row in rows), default=0) for _, second, rows in lines)
-    lines = [line for line in lines if line[1] > last - FAR_S]
-    first = min(second for _, second, _ in lines)
-    group = {row[0]: row[1] for _, _, rows in lines for row in rows}
-    servers = sorted(group, key=lambda s: (group[s], s))
-    at = {s: n for n, s in enumerate(servers)}
+    last = max(second + max((len(row[2]) for row in rows), default=0) for _, second, rows in entries)
+    entries = [entry for entry in entries if entry[1] > last - MAX_SPAN_S]
+    first = min(second for _, second, _ in entries)
+    group_of = {row[0]: row[1] for _, _, rows in entries for row in rows}
+    servers = sorted(group_of, key=lambda s: (group_of[s], s))
+    index_of = {s: n for n, s in enumerate(servers)}
     counts, parts = [[0] * (last - first) for _ in servers], {}
-    for proxy, second, rows in lines:
+    for proxy, second, rows in entries:
         for server, _, by_second, share, why in rows:
-            own = counts[at[server]]
+            server_counts = counts[index_of[server]]
             for n, count in enumerate(by_second):
-                own[second - first + n] += count
+                server_counts[second - first + n] += count
             sent, _, _ = parts.get((proxy, server), (0, 1.0, ""))
             parts[(proxy, server)] = (sent + sum(by_second), share, why)
-    return Fleet(first, servers, [group[s] for s in servers], counts, parts)
+    return Fleet(first, servers, [group_of[s] for s in servers], counts, parts)
--- a/thorndale/spread/measure.py
+++ b/thorndale/spread/measure.py
@@ -1,12 +1,13 @@
-"""Figures of balance from set-ups by server and second; of retries beside the budget's bound.
+"""Statistics of load balance from set-ups by server and second, and of retries relative to the budget's bound.
 
-`rows` are lists of counts, one a server, all of one length: set-ups in each second. `pools` are lists of indices into
-`rows`; `parts` the capacity of each server beside the others of its pool, any unit (None: alike).
+`rows` are lists of counts, one for each server, all of one length: set-ups in each second. `pools` are lists of indices
+into `rows`; `capacities` are those of the servers, in any unit (None: all equal).
 
-What is told apart from chance: under independent draws by `parts`, the count of one server in a window of n calls of
-its pool has the variance n p (1 - p). `variance` is the mean square of what was seen beside that: 1 for such draws,
-less for what is more even, more where calls run together. `peak` is what one server got in a second beside its part,
-less what chance gives to the largest of so many draws, sqrt(2 ln cells) standard deviations.
+The statistics separate imbalance from random variation. With independent random draws in proportion to capacity, the
+count of one server in a window of n calls of its pool has the variance n p (1 - p). `variance` is the mean squared
+deviation relative to that: 1 for such draws, less for a more even distribution, more if calls cluster. `peak` is what
+one server got in a second relative to its expected count, less the deviation that random draws would give to the
+largest of so many cells: sqrt(2 ln cells) standard deviations.
 """
 
 from math import log, sqrt
@@ -15,13 +16,14 @@
 from thorndale.policy import RETRY_FLOOR, RETRY_SHARE, SLOT_US, SLOTS
 
 WINDOW_S = 10
-WINDOW_US = SLOTS * SLOT_US  # us of the retry budget's window
+WINDOW_US = SLOTS * SLOT_US  # the retry budget's window
 
 
 class Balance(NamedTuple):
-    """`variance`: beside independent draws, over windows; `least`, `most`: of a server in a window beside its part;
-    `idle`: (server, first second, seconds) in which a server got nothing that by its part was due some ten or more;
-    `peak`: the largest share of a second beyond chance, beside its part, and (server, second) of it."""
+    """`variance`: relative to independent draws, over windows; `least`, `most`: count of a server in a window relative
+    to its expected count; `idle`: (server, first second, seconds) of stretches in which a server got nothing although
+    ten or more set-ups were expected; `peak`: the largest count in a second beyond random variation, relative to the
+    expected count; `peak_at`: its (server, second)."""
 
     variance: float
     least: float
@@ -32,124 +34,134 @@
 
 
 def windows(row, seconds):
-    """The counts of whole windows."""
-    return [sum(row[at : at + seconds]) for at in range(0, len(row) - seconds + 1, seconds)]
+    """The counts in consecutive whole windows."""
+    return [sum(row[start : start + seconds]) for start in range(0, len(row) - seconds + 1, seconds)]
 
 
-def parts_of(pool, parts):
-    """The part of each server of the pool, adding up to 1."""
-    own = [parts[s] if parts else 1.0 for s in pool]
-    return [p / sum(own) for p in own]
+def expected_shares(pool, capacities):
+    """The share of the pool's calls that each of its servers should get; they add up to 1."""
+    weights = [capacities[s] if capacities else 1.0 for s in pool]
+    return [p / sum(weights) for p in weights]
 
 
-def variance(rows, pools, parts=None, window_s=WINDOW_S):
-    """Mean square beside independent draws, pools of one server left out; 0 where there is nothing to tell."""
+def variance(rows, pools, capacities=None, window_s=WINDOW_S):
+    """Mean squared deviation relative to independent draws, without pools of one server; 0 if there are no calls."""
     total = cells = 0
     for pool in pools:
         if len(pool) < 2:
             continue
-        own = parts_of(pool, parts)
+        shares = expected_shares(pool, capacities)
         for counts in zip(*(windows(rows[s], window_s) for s in pool), strict=True):
             n = sum(counts)
             if n:
-                total += sum((c - n * p) ** 2 / (n * p * (1 - p)) for c, p in zip(counts, own, strict=True))
+                total += sum((c - n * p) ** 2 / (n * p * (1 - p)) for c, p in zip(counts, shares, strict=True))
                 cells += len(pool)
     return total / cells if cells else 0.0
 
 
-def extremes(rows, pools, parts=None, window_s=WINDOW_S):
-    """(least, most) of any server in any window beside its part of the pool's calls."""
-    found = [
+def extremes(rows, pools, capacities=None, window_s=WINDOW_S):
+    """(least, most) of any server in any window relative to its expected count."""
+    ratios = [
         c / (sum(counts) * p)
         for pool in pools
         for counts in zip(*(windows(rows[s], window_s) for s in pool), strict=True)
         if sum(counts)
-        for c, p in zip(counts, parts_of(pool, parts), strict=True)
+        for c, p in zip(counts, expected_shares(pool, capacities), strict=True)
     ]
-    return (min(found), max(found)) if found else (1.0, 1.0)
+    return (min(ratios), max(ratios)) if ratios else (1.0, 1.0)
 
 
-def idle(rows, pools, parts=None, due=10.0):
-    """(server, first second, seconds) of each stretch without a set-up in which its part of the pool's set-ups came to
-    `due` or more: an even draw leaves one so with a chance of e to the minus `due`."""
-    found = []
+def idle(rows, pools, capacities=None, min_expected=10.0):
+    """(server, first second, seconds) of each stretch without a set-up in which `min_expected` or more were expected by
+    the server's share of the pool: under random draws that has a probability of e to the minus `min_expected`."""
+    stretches = []
     for pool in pools:
-        own, all_ = parts_of(pool, parts), [sum(second) for second in zip(*(rows[s] for s in pool), strict=True)]
-        for s, part in zip(pool, own, strict=True):
+        shares, pool_counts = (
+            expected_shares(pool, capacities),
+            [sum(second) for second in zip(*(rows[s] for s in pool), strict=True)],
+        )
+        for s, share in zip(pool, shares, strict=True):
             first, missed = 0, 0.0
             for second, count in enumerate([*rows[s], 1]):
                 if count:
-                    if missed >= due:
-                        found.append((s, first, second - first))
+                    if missed >= min_expected:
+                        stretches.append((s, first, second - first))
                     first, missed = second + 1, 0.0
-                elif second < len(all_):
-                    missed += all_[second] * part
-    return sorted(found)
+                elif second < len(pool_counts):
+                    missed += pool_counts[second] * share
+    return sorted(stretches)
 
 
-def peak(rows, pools, parts=None, from_s=0, until_s=None, among_s=0):
-    """(share beyond chance beside its part, server, second) of the worst second: 1 is no more than its part. `among_s`:
-    the seconds that chance is reckoned over, where they are more than those looked at."""
+def peak(rows, pools, capacities=None, from_s=0, until_s=None, among_s=0):
+    """(count beyond random variation relative to the expected count, server, second) of the worst second: 1 is no more
+    than expected. `among_s`: the seconds over which random variation is computed, if more than those examined."""
     cells = max(2, sum(len(pool) for pool in pools) * max(among_s, len(rows[0][from_s:until_s])))
-    chance, worst = sqrt(2 * log(cells)), (0.0, -1, -1)
+    max_deviations, worst = sqrt(2 * log(cells)), (0.0, -1, -1)
     for pool in pools:
-        own = parts_of(pool, parts)
+        shares = expected_shares(pool, capacities)
         for second in range(from_s, len(rows[0]) if until_s is None else until_s):
             counts = [rows[s][second] for s in pool]
             n = sum(counts)
-            for s, count, part in zip(pool, counts, own, strict=True):
-                due = n * part
-                if due > 0:
-                    beyond = (count - chance * sqrt(due * (1 - part))) / due
-                    worst = max(worst, (beyond, s, second))
+            for s, count, share in zip(pool, counts, shares, strict=True):
+                expected = n * share
+                if expected > 0:
+                    excess = (count - max_deviations * sqrt(expected * (1 - share))) / expected
+                    worst = max(worst, (excess, s, second))
     return worst
 
 
-def settled(rows, pools, parts, from_s, within, window_s=WINDOW_S):
-    """Seconds from `from_s` until each server has its part within the share `within` over a window, for good; None: not
-    by the end. Beyond `within`, two standard deviations of independent draws are allowed for the window's few calls."""
-    last = from_s
+def settled(rows, pools, capacities, from_s, tolerance, window_s=WINDOW_S):
+    """Seconds from `from_s` until each server stays within `tolerance` of its expected count over every later window;
+    None if it does not by the end. Besides `tolerance`, two standard deviations of independent draws are allowed, since
+    a window has few calls."""
+    settled_at = from_s
     for pool in pools:
-        own = parts_of(pool, parts)
-        for at in range(from_s, len(rows[0]) - window_s + 1):
-            counts = [sum(rows[s][at : at + window_s]) for s in pool]
+        shares = expected_shares(pool, capacities)
+        for start in range(from_s, len(rows[0]) - window_s + 1):
+            counts = [sum(rows[s][start : start + window_s]) for s in pool]
             n = sum(counts)
-            off = (
-                abs(c - n * p) - within * n * p - 2 * sqrt(n * p * (1 - p)) for c, p in zip(counts, own, strict=True)
+            excess = (
+                abs(c - n * p) - tolerance * n * p - 2 * sqrt(n * p * (1 - p))
+                for c, p in zip(counts, shares, strict=True)
             )
-            if max(off) > 0:
-                last = max(last, at + 1)
-    return None if last > len(rows[0]) - 2 * window_s else last - from_s
+            if max(excess) > 0:
+                settled_at = max(settled_at, start + 1)
+    return None if settled_at > len(rows[0]) - 2 * window_s else settled_at - from_s
 
 
-def balance(rows, pools, parts=None, window_s=WINDOW_S):
-    """All of it as a Balance."""
-    least, most = extremes(rows, pools, parts, window_s)
-    beyond, server, second = peak(rows, pools, parts)
+def balance(rows, pools, capacities=None, window_s=WINDOW_S):
+    """All the statistics of balance."""
+    least, most = extremes(rows, pools, capacities, window_s)
+    excess, server, second = peak(rows, pools, capacities)
     return Balance(
-        variance(rows, pools, parts, window_s), least, most, idle(rows, pools, parts), beyond, (server, second)
+        variance(rows, pools, capacities, window_s),
+        least,
+        most,
+        idle(rows, pools, capacities),
+        excess,
+        (server, second),
     )
 
 
 def over(firsts, retries, back_us=0):
-    """(most by which retries at one server were over the design's bound, when): of the windows of 10 s that end as a
-    retry comes, as the budget itself looks at them. `firsts`, `retries`: us at which they came, oldest first;
-    `back_us`: by how much longer first set-ups count."""
-    worst, when, f, g, r = -RETRY_FLOOR, 0, 0, 0, 0
+    """(largest excess of retries at one server over the budget's bound, when), over the 10 s windows that end at a
+    retry, which are the windows that the budget itself checks. `firsts`, `retries`: us at which they came, oldest
+    first; `back_us`: how much longer than the window first set-ups count."""
+    worst, worst_at, firsts_end, firsts_start, retries_start = -RETRY_FLOOR, 0, 0, 0, 0
     for n, at in enumerate(retries):
-        while f < len(firsts) and firsts[f] <= at:
-            f += 1
-        while g < f and firsts[g] <= at - WINDOW_US - back_us:
-            g += 1
-        while retries[r] <= at - WINDOW_US:
-            r += 1
-        found = n - r + 1 - max(RETRY_FLOOR, int(RETRY_SHARE * (f - g)))
-        if found > worst:
-            worst, when = found, at
-    return worst, when
+        while firsts_end < len(firsts) and firsts[firsts_end] <= at:
+            firsts_end += 1
+        while firsts_start < firsts_end and firsts[firsts_start] <= at - WINDOW_US - back_us:
+            firsts_start += 1
+        while retries[retries_start] <= at - WINDOW_US:
+            retries_start += 1
+        excess = n - retries_start + 1 - max(RETRY_FLOOR, int(RETRY_SHARE * (firsts_end - firsts_start)))
+        if excess > worst:
+            worst, worst_at = excess, at
+    return worst, worst_at
 
 
 def use(firsts, retries, since_us, until_us):
-    """Retries of a span beside what its first set-ups allow; None where there were none."""
-    earned = RETRY_SHARE * sum(since_us <= at < until_us for at in firsts)
-    return sum(since_us <= at < until_us for at in retries) / earned if earned else None
+    """Retries in a span relative to what its first set-ups allow; None if there were no first set-ups."""
+    allowed = RETRY_SHARE * sum(since_us <= at < until_us for at in firsts)
+    return sum(since_us <= at < until_us for at in retries) / allowed if allowed else None
