--- a/bench/rights.py
+++ b/bench/rights.py
@@ -62,11 +62,11 @@
         total, members = counts(player)
     began, rows = player.began, player.auditor.budget
     spans = {"all": (FAILS + 12, day.seconds - 1), "cut": (CUT + 12, CUT + CUT_S)}
-    over = {name: measure.over(*row) for name, row in rows.items()}
+    over = {name: measure.worst_excess(*row) for name, row in rows.items()}
     worst = max(over, key=lambda name: over[name][0])
     use = {}
     for what, (a, b) in spans.items():
-        own = [measure.use(*row, began + a * S, began + b * S) or 0.0 for row in rows.values()]
+        own = [measure.budget_use(*row, began + a * S, began + b * S) or 0.0 for row in rows.values()]
         use[what] = [round(min(own), 3), round(statistics.mean(own), 3)]
     rules = {}
     for _, rule, _ in breaks:
--- a/tests/fleet/test_rights.py
+++ b/tests/fleet/test_rights.py
@@ -99,7 +99,7 @@
                     self.collect(m)
 
     def over(self, back_us=measure.WINDOW_US):
-        return measure.over(sorted(self.firsts), sorted(self.retries), back_us)[0]
+        return measure.worst_excess(sorted(self.firsts), sorted(self.retries), back_us)[0]
 
     def settle(self):
         """Everything arrives."""
@@ -296,7 +296,7 @@
             while world.flying:
                 world.deliver()
             world.pass_time(S // 20)
-    assert measure.use(world.firsts, world.retries, world.now - 20 * S, world.now) > 0.85
+    assert measure.budget_use(world.firsts, world.retries, world.now - 20 * S, world.now) > 0.85
     assert world.over(0) <= 0
 
 
--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_sharing.py
@@ -93,15 +93,18 @@
     breaks, left, budget, counts, _, passed = days[name]
     assert not breaks and not left and (passed["lost"] or passed["held"] or passed["delivered"])
     for box, (firsts, retries) in budget.items():
-        assert measure.over(firsts, retries, measure.WINDOW_US)[0] <= 0, (box, measure.over(firsts, retries))
-        assert measure.over(firsts, retries)[0] <= 1, (box, measure.over(firsts, retries))
+        assert measure.worst_excess(firsts, retries, measure.WINDOW_US)[0] <= 0, (
+            box,
+            measure.worst_excess(firsts, retries),
+        )
+        assert measure.worst_excess(firsts, retries)[0] <= 1, (box, measure.worst_excess(firsts, retries))
         assert len(retries) > 10
     assert total(counts, "rights", "given") and total(counts, "rights", "refused")
 
 
 def test_rights_are_used_while_all_hear_each_other(days):
     _, _, budget, counts, _, _ = days["half deaf"]
-    used = [measure.use(firsts, retries, 18 * S, 27 * S) for firsts, retries in budget.values()]
+    used = [measure.budget_use(firsts, retries, 18 * S, 27 * S) for firsts, retries in budget.values()]
     assert sum(used) / 3 > 0.5, used
     assert total(counts, "rights", "served") > 30
 
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -8,7 +8,7 @@
 from thorndale.fields import InputError
 from thorndale.platform.config import read
 from thorndale.platform.errors import PlatformError
-from thorndale.settings import flat, module_settings
+from thorndale.settings import flatten, module_settings
 
 PAIRS = (
     "tickMs=1.0\tnInstances=3\tdiscovery=automatic\ttenants=\tclasses.count=2\tclasses.0.goalTimeMs=340.0\t"
@@ -23,7 +23,7 @@
 
 def test_flat_pairs_and_nested_json_give_the_same_map():
     pairs = dict(part.split("=", 1) for part in PAIRS.split("\t"))
-    found = module_settings(flat(SETTINGS))
+    found = module_settings(flatten(SETTINGS))
     assert found == module_settings(pairs)
     assert found["resend_us"] == 223_456 and found["type_pools"] == [[0, 1], [0, 1]] and found["client_quota"] == []
 
@@ -62,4 +62,4 @@
 
 def test_what_is_no_plain_value_is_refused():
     with pytest.raises(InputError):
-        flat({"a": object()})
+        flatten({"a": object()})
--- a/tests/sites/test_planner.py
+++ b/tests/sites/test_planner.py
@@ -7,8 +7,8 @@
 import pytest
 
 from thorndale.config.load import load, parse
-from thorndale.sites.plan import SitesError
 from thorndale.sites.planner import Capacity, Load, plan
+from thorndale.sites.topology import SitesError
 
 SITES = ["dakar", "thies"]
 SERVERS = {
@@ -23,7 +23,7 @@
 
 def test_without_a_loss_all_calls_are_served_at_their_own_site():
     found = plan(SERVERS, LOAD, SITES)
-    assert found.earned == pytest.approx(found.wished) == pytest.approx(370)
+    assert found.earned == pytest.approx(found.offered_revenue) == pytest.approx(370)
     assert sum(map(sum, [row for rows in found.served for row in rows])) == pytest.approx(270)
 
 
--- a/tests/sites/test_sites.py
+++ b/tests/sites/test_sites.py
@@ -6,8 +6,8 @@
 
 from thorndale import interface as io
 from thorndale.policy import Proxy
-from thorndale.sites import health, plan, spill
-from thorndale.sites.router import Sites
+from thorndale.sites import health, overflow, topology
+from thorndale.sites.router import SiteRouter
 
 S = 1_000_000
 SETTINGS = {
@@ -64,15 +64,15 @@
     ],
 )
 def test_each_error_in_the_settings_is_named(change, message):
-    with pytest.raises(plan.SitesError, match=message):
-        plan.expand(SETTINGS, SITES | change)
+    with pytest.raises(topology.SitesError, match=message):
+        topology.expand_settings(SETTINGS, SITES | change)
 
 
 def test_the_module_gets_the_pools_of_one_site_for_each_type():
-    expanded = plan.expand(SETTINGS, SITES)
+    expanded = topology.expand_settings(SETTINGS, SITES)
     assert expanded["type_pools"] == [[0], [1, 2], [0], [1]]
     assert expanded["type_revenue"] == [1.0, 1.0, 6.0, 6.0]
-    assert expanded["type_pools"][plan.type_at_site(1, 1, 2)] == [1]
+    assert expanded["type_pools"][topology.type_at_site(1, 1, 2)] == [1]
 
 
 # ---- health ----
@@ -200,7 +200,7 @@
 @pytest.mark.parametrize("proxies", [5, 50, 500])
 def test_the_sum_keeps_to_the_limit_for_any_number_of_proxies(proxies):
     random = random_source(proxies)
-    limits = [spill.OverflowLimit(100.0, random) for _ in range(proxies)]
+    limits = [overflow.OverflowLimit(100.0, random) for _ in range(proxies)]
     admitted = offer(limits, 1 / proxies, 30, 340, random)
     assert 60 < sum(admitted[2:]) / 28 < 108 and max(admitted[2:]) < 150
 
@@ -208,14 +208,14 @@
 @pytest.mark.parametrize("proxies", [5, 500])
 def test_a_burst_at_all_proxies_at_once_uses_no_more_than_the_credit(proxies):
     random = random_source(7)
-    limits = [spill.OverflowLimit(100.0, random) for _ in range(proxies)]
+    limits = [overflow.OverflowLimit(100.0, random) for _ in range(proxies)]
     admitted = sum(s.admit(10 * S + n, 1 / proxies, 1.0) for n in range(20) for s in limits)
-    assert admitted <= 100 * spill.MAX_CREDIT_US / S * 1.3
+    assert admitted <= 100 * overflow.MAX_CREDIT_US / S * 1.3
 
 
 def test_highest_revenue_first_and_own_calls_before_those_from_outside():
     random = random_source(3)
-    limit = spill.OverflowLimit(10.0, random)
+    limit = overflow.OverflowLimit(10.0, random)
     admitted = {1.0: 0, 6.0: 0}
     for n in range(6000):
         revenue = 6.0 if n % 16 == 0 else 1.0
@@ -227,7 +227,7 @@
 
 
 def test_a_proxy_that_carries_a_fifth_of_the_calls_has_a_fifth_of_the_limit():
-    share = spill.FleetShare(50)
+    share = overflow.FleetShare(50)
     assert share.value == 1 / 50
     for n in range(100):
         share.report_lines(0, 300.0)
@@ -242,7 +242,7 @@
 class Rig:
     def __init__(self, sites=SITES):
         self.now, self.calls = S, 0
-        self.core = Sites(1, SETTINGS, sites, Proxy(1, plan.expand(SETTINGS, sites)))
+        self.core = SiteRouter(1, SETTINGS, sites, Proxy(1, topology.expand_settings(SETTINGS, sites)))
         self.send(io.Servers(tuple(io.Server(n, n, io.SERVING, 0) for n in range(3)), True, True))
 
     def send(self, *events, after=10_000):
--- a/thorndale/adapter/host.py
+++ b/thorndale/adapter/host.py
@@ -2,7 +2,7 @@
 
 from thorndale import fields as field
 from thorndale.adapter import frames
-from thorndale.adapter.door import WireCodec, list_entry
+from thorndale.adapter.codec import WireCodec, list_entry
 from thorndale.policy import Proxy
 from thorndale.settings import module_settings
 
--- a/thorndale/call/door.py
+++ b/thorndale/call/door.py
@@ -4,8 +4,8 @@
 """
 
 from thorndale.policy import Proxy
-from thorndale.sites.plan import expand
-from thorndale.sites.router import Sites
+from thorndale.sites.router import SiteRouter
+from thorndale.sites.topology import expand_settings
 
 
 def decider(seed, settings):
@@ -14,11 +14,11 @@
     if not settings.sites:
         return Proxy(seed, known)
     sites = site_settings(settings)
-    return Sites(seed >> 1, known, sites, Proxy(seed, expand(known, sites)))
+    return SiteRouter(seed >> 1, known, sites, Proxy(seed, expand_settings(known, sites)))
 
 
 def site_settings(settings):
-    """The plain map of `thorndale/sites/plan.py`. A type's calls are offered to their own site, then to those that it
+    """The plain map of `thorndale.sites.topology`. A type's calls are offered to their own site, then to those that it
     names, then, where the type may use none of these, to any other."""
     group = {g.name: n for n, g in enumerate(settings.trunk_groups)}
     names = [s.name for s in settings.sites]
--- a/thorndale/cli/balance.py
+++ b/thorndale/cli/balance.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from thorndale.spread import measure
-from thorndale.spread.gather import LogError, gathered, told
+from thorndale.spread.gather import LogError, combine_entries, read_entries
 
 BARS = " .:-=+*#%@"
 HERDS_SHOWN = 10
@@ -32,7 +32,7 @@
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
-                lines, bad = told(file)
+                lines, bad = read_entries(file)
         except OSError as fault:
             complain(f"{path}: cannot be read: {fault.strerror}")
             useless += 1
@@ -77,7 +77,7 @@
         whole = sum(sum(fleet.rows[s]) for s in pool)
         for s in pool:
             name, sent = fleet.servers[s], sum(fleet.rows[s])
-            own = [part for (_, server), part in fleet.parts.items() if server == name]
+            own = [part for (_, server), part in fleet.proxy_shares.items() if server == name]
             shares = sorted(share for _, share, _ in own)
             table.add_row(
                 name,
@@ -115,7 +115,7 @@
         table = Table(title=f"Of {proxy}", title_justify="left")
         for name in ("server", "set-ups", "share learned", "why less"):
             table.add_column(name)
-        for (name, server), (sent, share, why) in sorted(fleet.parts.items()):
+        for (name, server), (sent, share, why) in sorted(fleet.proxy_shares.items()):
             if name == proxy:
                 table.add_row(server, str(sent), f"{share:.2f}", why)
         console.print(table)
@@ -124,7 +124,7 @@
 def balance(places, proxy, echo):
     """The exit code."""
     lines, useless = read(files(places), lambda text: echo(text, err=True))
-    fleet = gathered(lines)
+    fleet = combine_entries(lines)
     if fleet is None:
         echo("nothing to tell: no log with set-ups among these", err=True)
         return 2
--- a/thorndale/cli/main.py
+++ b/thorndale/cli/main.py
@@ -134,7 +134,7 @@
     from thorndale.call.door import site_settings
     from thorndale.cli.plan import losses, show
     from thorndale.config.plans import read_plan
-    from thorndale.sites.plan import SitesError
+    from thorndale.sites.topology import SitesError
 
     try:
         settings, servers, load_ = read_plan(file, lambda s: site_settings(s)["site_order"])
--- a/thorndale/cli/plan.py
+++ b/thorndale/cli/plan.py
@@ -24,8 +24,8 @@
     most = [0.0] * len(sites)
     for said, site, server in asked:
         found = plan(servers, load, sites, site, server)
-        part = found.earned / found.wished if found.wished else 1.0
-        echo(f"// {said} lost: {found.earned:.1f} of {found.wished:.1f} revenue a second kept ({part:.3f})")
+        part = found.earned / found.offered_revenue if found.offered_revenue else 1.0
+        echo(f"// {said} lost: {found.earned:.1f} of {found.offered_revenue:.1f} revenue a second kept ({part:.3f})")
         for t, rows in enumerate(found.served):
             for o, row in enumerate(rows):
                 if load.offered[t][o]:
--- a/thorndale/emulator/fleet.py
+++ b/thorndale/emulator/fleet.py
@@ -10,8 +10,8 @@
 from thorndale.emulator.settings import RELEASE_US, module_settings
 from thorndale.emulator.sharing import Sharing
 from thorndale.emulator.ways import module
-from thorndale.sites.plan import expand
-from thorndale.sites.router import Sites
+from thorndale.sites.router import SiteRouter
+from thorndale.sites.topology import expand_settings
 from thorndale.standins.processor import Processor, Work
 
 WORK = Work(setup_us=8_000, answer_us=1_000, release_us=1_000, warm_us=12_000_000)
@@ -154,8 +154,8 @@
         if day.policy in ("plain", "oracle"):
             core = module(day.way, seed, settings, number, self.servers)
         else:
-            core = module(day.way, seed, expand(settings, self.sites()), number, self.servers)
-            core = Sites(seed ^ 0x5DEECE66D, settings, self.sites(), core)
+            core = module(day.way, seed, expand_settings(settings, self.sites()), number, self.servers)
+            core = SiteRouter(seed ^ 0x5DEECE66D, settings, self.sites(), core)
         equal = 1.0 / day.proxies
         weight = equal if not day.largest else day.largest if number == 0 else (1 - day.largest) / (day.proxies - 1)
         if day.unequal:
--- a/thorndale/emulator/sharing.py
+++ b/thorndale/emulator/sharing.py
@@ -153,8 +153,8 @@
     def over(self):
         """(most by which the retries of a window were over its bound, when, server)."""
         rows = zip(self.firsts, self.retries, strict=True)
-        return max((measure.over(f, r) + (s,) for s, (f, r) in enumerate(rows)), default=(0, 0, 0))
+        return max((measure.worst_excess(f, r) + (s,) for s, (f, r) in enumerate(rows)), default=(0, 0, 0))
 
     def use(self, server, since_us, until_us):
         """Retries beside what the bound allows, over a span."""
-        return measure.use(self.firsts[server], self.retries[server], since_us, until_us)
+        return measure.budget_use(self.firsts[server], self.retries[server], since_us, until_us)
--- a/thorndale/platform/config.py
+++ b/thorndale/platform/config.py
@@ -6,7 +6,7 @@
 from thorndale.fields import InputError
 from thorndale.platform.errors import PlatformError
 from thorndale.platform.feed import read_known
-from thorndale.settings import flat, module_settings
+from thorndale.settings import flatten, module_settings
 
 
 class Kind(NamedTuple):
@@ -64,7 +64,7 @@
     if sockets < 32:
         raise PlatformError(f"{sockets} descriptors are too few, 32 are needed", "limits.sockets")
     try:
-        settings = module_settings(flat(given["settings"]))
+        settings = module_settings(flatten(given["settings"]))
     except InputError as fault:
         raise PlatformError(str(fault), "settings") from None
     return Config(
--- a/thorndale/settings.py
+++ b/thorndale/settings.py
@@ -13,19 +13,19 @@
 MAX_TIME_US = 1_000_000_000_000  # upper bound of the times in the settings: some eleven days
 
 
-def flat(value, path=""):
+def flatten(value, path=""):
     """Nested JSON as pairs of path and text: a list of scalars is joined by commas, any other list gives its length
     under `.count` and its items under their indices. Raises InputError for any other kind of value."""
     if isinstance(value, dict):
         pairs = {}
         for key, item in value.items():
-            pairs |= flat(item, f"{path}.{key}" if path else key)
+            pairs |= flatten(item, f"{path}.{key}" if path else key)
         return pairs
     if isinstance(value, list):
         if any(isinstance(item, dict | list) for item in value):
             pairs = {f"{path}.count": str(len(value))}
             for n, item in enumerate(value):
-                pairs |= flat(item, f"{path}.{n}")
+                pairs |= flatten(item, f"{path}.{n}")
             return pairs
         return {path: ",".join(_text(path, item) for item in value)}
     return {path: _text(path, value)}
--- a/thorndale/sites/planner.py
+++ b/thorndale/sites/planner.py
@@ -10,7 +10,7 @@
 
 import highspy
 
-from thorndale.sites.plan import SitesError
+from thorndale.sites.topology import SitesError
 
 ROUNDING_PER_S = 1e-6  # calls a second below which a value is the solver's rounding
 DISTANCE_PENALTY = 1e-4  # revenue a call for each step away from the own site: among equal plans the least moves wins
@@ -38,12 +38,12 @@
 
 class Plan(NamedTuple):
     """`served[t][o][s]`: calls a second. `outside[s]`: set-ups a second of other sites' calls at s.
-    `earned`, `wished`: revenue a second. `bottlenecks`: (text, revenue a second that one unit more adds)."""
+    `earned`, `offered_revenue`: revenue a second. `bottlenecks`: (text, revenue a second that one unit more adds)."""
 
     served: list
     outside: list
     earned: float
-    wished: float
+    offered_revenue: float
     bottlenecks: list
 
 
@@ -143,5 +143,5 @@
             if text and "offered" not in text and abs(dual) > ROUNDING_PER_S
         ]
         earned = sum(r * sum(map(sum, rows)) for r, rows in zip(load.revenue, served, strict=True))
-        wished = sum(r * sum(row) for r, row in zip(load.revenue, load.offered, strict=True))
-        return Plan(served, outside, earned, wished, sorted(duals, key=lambda d: -d[1]))
+        offered_revenue = sum(r * sum(row) for r, row in zip(load.revenue, load.offered, strict=True))
+        return Plan(served, outside, earned, offered_revenue, sorted(duals, key=lambda d: -d[1]))
--- a/thorndale/sites/router.py
+++ b/thorndale/sites/router.py
@@ -1,6 +1,6 @@
 """Routes each call to a site, ahead of the decision module.
 
-Usage: Sites(seed, settings, sites, module), with `module` made from the settings expanded for the sites; then
+Usage: SiteRouter(seed, settings, sites, module), with `module` made from the settings expanded for the sites; then
 handle(now_us, events), with the same events and actions as the module's own. A call is offered to one site at a time,
 under the number that its call type has at that site; the module alone decides what happens to it there. Only a call
 that the module turns away without having sent it to a server is offered to the next site, and only within that site's
@@ -10,7 +10,7 @@
 """
 
 from thorndale import interface as io
-from thorndale.sites import health, plan, spill
+from thorndale.sites import health, overflow, topology
 
 LOST, UNANSWERED = (io.UNREACHABLE, io.RESET), (io.TIMED_OUT, io.CANCELLED)
 
@@ -26,16 +26,16 @@
         self.site, self.sent, self.established = -1, False, False
 
 
-class Sites:
+class SiteRouter:
     def __init__(self, seed, settings, sites, module):
-        plan.check_sites(settings, sites)
+        topology.check_sites(settings, sites)
         self.settings, self.module, self.site_order = settings, module, sites["site_order"]
         self.random_state = seed & (1 << 64) - 1
         self.site_count = len(sites["site_pools"])
         self.site_of_pool = {pool: s for s, pools in enumerate(sites["site_pools"]) for pool in pools}
         self.health = [health.SiteHealth(self._random) for _ in range(self.site_count)]
-        self.overflow_limits = [spill.OverflowLimit(rate, self._random) for rate in sites["site_outside"]]
-        self.fleet_shares = [spill.FleetShare(settings["instances"]) for _ in range(self.site_count)]
+        self.overflow_limits = [overflow.OverflowLimit(rate, self._random) for rate in sites["site_outside"]]
+        self.fleet_shares = [overflow.FleetShare(settings["instances"]) for _ in range(self.site_count)]
         self.established = [0] * self.site_count
         self.timeout_us = min(settings["type_target_us"])  # an unanswered seizure counts against its site from here
         self.servers, self.calls = {}, {}  # server: (pool, state, started); call: OfferedCall
@@ -181,7 +181,7 @@
             offered.site = site
             for_module.append(
                 event._replace(
-                    call_type=plan.type_at_site(event.call_type, site, self.site_count),
+                    call_type=topology.type_at_site(event.call_type, site, self.site_count),
                     answer_within_us=max(1, offered.answer_due_at - now),
                     pool=event.pool if self.site_of_pool.get(event.pool) == site else -1,
                     key=event.key if first else 0,  # or the module would take its own rejection for a caller's redial
--- a/thorndale/sites/plan.py
+++ b/thorndale/sites/topology.py
@@ -64,7 +64,7 @@
     return [p for p in group if call_type >= len(pools) or p in pools[call_type]]
 
 
-def expand(settings, sites):
+def expand_settings(settings, sites):
     """The module's settings with each call type repeated for every site. Raises SitesError."""
     check_sites(settings, sites)
     groups, expanded = sites["site_pools"], dict(settings)
--- a/thorndale/spread/gather.py
+++ b/thorndale/spread/gather.py
@@ -7,15 +7,15 @@
 MAX_SPAN_S = 7 * 86_400  # longest time between the first and the last set-ups that are combined
 
 
-class Fleet(NamedTuple):
+class FleetSetups(NamedTuple):
     """`servers` in the order of their trunk groups; `groups`: the trunk group of each; `rows`: counts by server and
-    second, from wall-clock second `first` on; `parts`: by proxy and server (set-ups, last logged share, why)."""
+    second, from wall-clock second `first` on; `proxy_shares`: by proxy and server (set-ups, last logged share, why)."""
 
     first: int
     servers: list
     groups: list
     rows: list
-    parts: dict
+    proxy_shares: dict
 
     def pools(self):
         by_group = {}
@@ -28,7 +28,7 @@
     """A file without usable set-ups; the text says why."""
 
 
-def told(lines):
+def read_entries(lines):
     """[(proxy, first second, rows)] of one log, and the number of unreadable lines. Raises LogError if the file is not
     a proxy's log or contains no set-ups."""
     entries, unreadable, events = [], 0, 0
@@ -72,8 +72,8 @@
     return proxy, second, rows
 
 
-def gathered(entries):
-    """A Fleet from the entries of all logs, or None if there are none. Entries more than MAX_SPAN_S before the
+def combine_entries(entries):
+    """A FleetSetups from the entries of all logs, or None if there are none. Entries more than MAX_SPAN_S before the
     newest are left out."""
     if not entries:
         return None
@@ -83,12 +83,12 @@
     group_of = {row[0]: row[1] for _, _, rows in entries for row in rows}
     servers = sorted(group_of, key=lambda s: (group_of[s], s))
     index_of = {s: n for n, s in enumerate(servers)}
-    counts, parts = [[0] * (last - first) for _ in servers], {}
+    counts, proxy_shares = [[0] * (last - first) for _ in servers], {}
     for proxy, second, rows in entries:
         for server, _, by_second, share, why in rows:
             server_counts = counts[index_of[server]]
             for n, count in enumerate(by_second):
                 server_counts[second - first + n] += count
-            sent, _, _ = parts.get((proxy, server), (0, 1.0, ""))
-            parts[(proxy, server)] = (sent + sum(by_second), share, why)
-    return Fleet(first, servers, [group_of[s] for s in servers], counts, parts)
+            sent, _, _ = proxy_shares.get((proxy, server), (0, 1.0, ""))
+            proxy_shares[(proxy, server)] = (sent + sum(by_second), share, why)
+    return FleetSetups(first, servers, [group_of[s] for s in servers], counts, proxy_shares)
--- a/thorndale/spread/measure.py
+++ b/thorndale/spread/measure.py
@@ -143,7 +143,7 @@
     )
 
 
-def over(firsts, retries, back_us=0):
+def worst_excess(firsts, retries, back_us=0):
     """(largest excess of retries at one server over the budget's bound, when), over the 10 s windows that end at a
     retry, which are the windows that the budget itself checks. `firsts`, `retries`: us at which they came, oldest
     first; `back_us`: how much longer than the window first set-ups count."""
@@ -161,7 +161,7 @@
     return worst, worst_at
 
 
-def use(firsts, retries, since_us, until_us):
+def budget_use(firsts, retries, since_us, until_us):
     """Retries in a span relative to what its first set-ups allow; None if there were no first set-ups."""
     allowed = RETRY_SHARE * sum(since_us <= at < until_us for at in firsts)
     return sum(since_us <= at < until_us for at in retries) / allowed if allowed else None
