--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -182,7 +182,7 @@
             if stood is not None:
                 stood[0].standing.discard(call)
             if self.plan.answers_releases and not line.writing.locked():
-                line.writer.write(isup.encode(isup.HEARD, call))
+                line.writer.write(isup.encode(isup.RELEASE_COMPLETE, call))
             held = line.open.pop(call, None)
             if held is not None and self.trial.chance.random() < self.plan.redials:
                 self.trial.spawn(self._redial(held[1], self.trial.tries.get(call, 0)))
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -124,7 +124,7 @@
         caller = await p.caller()
         call = caller.setup(call_id(1))
         await until(lambda: over(caller, call))
-        caller.writer.write(isup.encode(isup.HEARD, call))
+        caller.writer.write(isup.encode(isup.RELEASE_COMPLETE, call))
         await caller.close()
         refused = await p.caller()
         refused.setup(call_id(2), kind=b"none")
--- a/tests/platform/platform_rig.py
+++ b/tests/platform/platform_rig.py
@@ -6,7 +6,7 @@
 from thorndale import interface as io
 from thorndale.platform import central as sip
 from thorndale.platform import isup
-from thorndale.platform.border import Border, Send
+from thorndale.platform.border import Border, SocketActions
 from thorndale.platform.config import read
 from thorndale.platform.feed import Entry, Event
 from thorndale.policy import Proxy
@@ -75,7 +75,7 @@
     return [*values, (isup.DESCRIPTION, body)]
 
 
-class Rig(Send):
+class Rig(SocketActions):
     """`sent[key]`: messages to a central server by connection; `received_by[conn]`: messages to callers."""
 
     def __init__(self, **other):
@@ -159,7 +159,7 @@
         return call
 
     def answer_release(self, call, conn="c"):
-        self.deliver("caller_message", conn, (isup.HEARD, call, b""))
+        self.deliver("caller_message", conn, (isup.RELEASE_COMPLETE, call, b""))
 
     def release(self, call, conn="c", cause=16):
         for message in isup.Framer().feed(isup.release(call, cause)):
@@ -209,13 +209,13 @@
         try:
             for signal in sip.Framer().feed(data):
                 self.core.server_signal(self.now, key, signal)
-        except sip.FAULTS:
+        except sip.STREAM_ERRORS:
             self.core.server_lost(self.now, key, "spoilt")
         if flush:
             self.core.flush(self.now)
 
     def change_list(self, number, *entries, whole=False):
-        self.deliver("listed", Event(number, whole, entries))
+        self.deliver("server_list_changed", Event(number, whole, entries))
 
     def seizure_ends(self):
         """How often each seizure was reported to the module as ended: {(call, serial, seizure): count}. The serial
--- a/tests/platform/test_central.py
+++ b/tests/platform/test_central.py
@@ -43,7 +43,7 @@
     ],
 )
 def test_what_cannot_be_read_ends_the_stream(data):
-    with pytest.raises(sip.FAULTS):
+    with pytest.raises(sip.STREAM_ERRORS):
         list(sip.Framer().feed(data))
 
 
@@ -54,7 +54,7 @@
     try:
         for part in parts:
             list(framer.feed(part))
-    except sip.FAULTS:
+    except sip.STREAM_ERRORS:
         pass
 
 
--- a/tests/platform/test_ends.py
+++ b/tests/platform/test_ends.py
@@ -58,7 +58,7 @@
         rig.deliver("caller_lost", "c")
     else:
         rig.release(call)
-    assert [e.outcome for e in ended_events(rig)] == [io.NOT_SENT] and len(rig.core.door) == 0
+    assert [e.outcome for e in ended_events(rig)] == [io.NOT_SENT] and len(rig.core.decision_host) == 0
     rig.open_dialled()
     rig.advance(2 * S)
     assert not rig.invites() and not [m for sent in rig.sent.values() for m in sent if m.method == "CANCEL"]
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -160,7 +160,7 @@
         self.check()
         assert self.call not in rig.core.calls and not rig.core.releases.undelivered and not rig.core.releases.waiting
         assert self.to_caller() or not self.caller_waits, "the caller stayed and received no answer"
-        assert len(rig.core.door) == 0 and not rig.core.door.module.calls
+        assert len(rig.core.decision_host) == 0 and not rig.core.decision_host.module.calls
         assert not any(s.sent_at is None for link in rig.core.links.values() for s in link.in_flight.values())
         assert len(rig.core.timers) < 20
         return was_answered
--- a/tests/platform/test_platform_border.py
+++ b/tests/platform/test_platform_border.py
@@ -26,7 +26,7 @@
     rig.advance(2 * S)
     rig.bye(key, call)
     assert causes(rig)[1:] == [(isup.RELEASE, 16)] and set(rig.seizure_ends().values()) == {1}
-    assert not rig.core.calls and not rig.core.standing() and len(rig.core.door) == 0
+    assert not rig.core.calls and not rig.core.established_calls() and len(rig.core.decision_host) == 0
     rig.bye(key, call)  # repeated, as on another connection
     assert len(rig.received_by["c"]) == 2
 
@@ -41,7 +41,7 @@
     invite.call = real
     rig.answer(key, invite)
     rig.answer(key, invite)
-    assert len(rig.received_by["c"]) == 1 and rig.core.standing() == 1
+    assert len(rig.received_by["c"]) == 1 and rig.core.established_calls() == 1
     assert not [m for m in rig.sent[key] if m.method == "BYE"]
 
 
@@ -95,7 +95,7 @@
     assert causes(rig)[0][0] == isup.RELEASE
     rig.answer(key, invite)
     assert [m.method for m in rig.sent[key]][-2:] == ["ACK", "BYE"] and len(rig.received_by["c"]) == 1
-    assert set(rig.seizure_ends().values()) == {1} and len(rig.core.door) == 0
+    assert set(rig.seizure_ends().values()) == {1} and len(rig.core.decision_host) == 0
 
 
 # Prevents a call that stays established forever: its BYE arrives on another connection before its answer is read.
@@ -108,7 +108,7 @@
     assert causes(rig) == []
     rig.answer(key, invite)
     assert causes(rig) == [(isup.ANSWER, 0), (isup.RELEASE, 16)]
-    assert not rig.core.calls and len(rig.core.door) == 0 and set(rig.seizure_ends().values()) == {1}
+    assert not rig.core.calls and len(rig.core.decision_host) == 0 and set(rig.seizure_ends().values()) == {1}
 
 
 # Prevents ending a call because of a BYE that belongs to its earlier seizure at the same server.
@@ -125,7 +125,7 @@
     assert second is not invite and second.call == invite.call
     rig.bye(later_key, call)
     rig.answer(later_key, second)
-    assert causes(rig) == [(isup.ANSWER, 0)] and rig.core.standing() == 1
+    assert causes(rig) == [(isup.ANSWER, 0)] and rig.core.established_calls() == 1
 
 
 def test_a_caller_that_gives_up_gets_no_answer():
@@ -139,7 +139,7 @@
         -1
     ].outcome == io.CANCELLED
     rig.answer(key, invite)
-    assert "c" not in rig.received_by and len(rig.core.door) == 0
+    assert "c" not in rig.received_by and len(rig.core.decision_host) == 0
     call = rig.setup()
     rig.deliver("caller_lost", "c")
     assert rig.sent[rig.last_invite()[0]][-1].method == "CANCEL" and not rig.core.calls
@@ -172,7 +172,7 @@
         assert set(rig.seizure_ends().values()) <= {1}, order
         answers = [kind for kind, _, _ in rig.received_by.get("c", [])]
         assert answers.count(isup.ANSWER) + answers.count(isup.RELEASE) <= 2 and answers.count(isup.ANSWER) <= 1, order
-        assert not rig.core.calls and len(rig.core.door) == 0, order
+        assert not rig.core.calls and len(rig.core.decision_host) == 0, order
 
 
 def test_a_malformed_stream_resets_its_own_set_ups_and_no_established_calls():
@@ -186,12 +186,12 @@
     open_before = {k: len(link.in_flight) for k, link in rig.core.links.items()}
     rig.signal(key, b"SIP/9.9 OK 200\r\n\r\n")
     reset_events = [e for e in rig.module_events if type(e) is io.SeizureEnded and e.outcome == io.RESET]
-    assert len(reset_events) == open_before[key] and key not in rig.core.links and rig.core.standing() == 1
+    assert len(reset_events) == open_before[key] and key not in rig.core.links and rig.core.established_calls() == 1
     rig.advance(100 * MS)
     rig.open_dialled()
     other = next(k for k, link in rig.core.links.items() if link.central.established)
     rig.bye(other, established)
-    assert (isup.RELEASE, 16) in causes(rig) and not rig.core.standing()
+    assert (isup.RELEASE, 16) in causes(rig) and not rig.core.established_calls()
 
 
 def test_an_answer_whose_description_cannot_be_read_is_passed_to_nobody():
@@ -220,10 +220,10 @@
     key, invite = rig.last_invite()
     rig.answer(key, invite)
     rig.deliver("server_lost", key, "lost")
-    assert rig.core.standing() == 1 and len(rig.received_by["c"]) == 1
+    assert rig.core.established_calls() == 1 and len(rig.received_by["c"]) == 1
     reconnect_key = rig.dialled[-1][0]
     rig.deliver("server_lost", reconnect_key, "refused")
-    assert rig.core.standing() == 0 and causes(rig)[-1] == (isup.RELEASE, outcomes.CUT)
+    assert rig.core.established_calls() == 0 and causes(rig)[-1] == (isup.RELEASE, outcomes.CUT)
     assert rig.module_events[-1].outcome == io.RESET and rig.module_events[-1].final
 
 
@@ -235,7 +235,7 @@
     rig.answer(key, invite)
     start = rig.now
     rig.unresponsive.update(rig.core.links)
-    while rig.core.standing() and rig.now < start + 20 * S:
+    while rig.core.established_calls() and rig.now < start + 20 * S:
         rig.advance(500 * MS)
         for dialled, _, _ in rig.dialled:
             link = rig.core.links.get(dialled)
@@ -262,7 +262,7 @@
         else:
             rig.deliver("server_lost", links[0], "lost")
         assert len(rig.dialled) > dialled and rig.now - start < 800 * MS
-        assert rig.core.standing() == len(calls)
+        assert rig.core.established_calls() == len(calls)
         rig.open_dialled()
         rig.bye(rig.dialled[-1][0], calls[0])
         assert causes(rig)[-1] == (isup.RELEASE, 16)
@@ -283,9 +283,9 @@
             rig.deliver("server_lost", key, kind)
         dialled = len(rig.dialled)
         rig.advance(wait_us)
-    assert len(rig.dialled) > dialled and rig.core.standing() == 4
+    assert len(rig.dialled) > dialled and rig.core.established_calls() == 4
     rig.deliver("server_lost", rig.dialled[-1][0], "refused")
-    assert rig.core.standing() == 0
+    assert rig.core.established_calls() == 0
 
 
 def test_a_silent_connection_takes_no_new_set_up():
@@ -341,14 +341,14 @@
         rig.deliver("server_lost", link.key, "lost")  # the server ended and another one started at its address
     rig.advance(200 * MS)
     rig.open_dialled()
-    assert old.links and old.links[0].is_open and rig.core.standing() == 1
+    assert old.links and old.links[0].is_open and rig.core.established_calls() == 1
     rig.change_list(
         2,
         entry(old.name, old.host, io.GONE, old.pool),
         entry("s-0000000c", old.host, io.SERVING, old.pool, started=990_000),
     )
     assert rig.received_by["c"][-1] == (isup.RELEASE, call, {isup.CAUSE: bytes((outcomes.CUT,))})
-    assert rig.core.standing() == 0 and old.name not in rig.core.centrals
+    assert rig.core.established_calls() == 0 and old.name not in rig.core.centrals
 
 
 def test_a_draining_server_gets_nothing_new():
@@ -369,13 +369,13 @@
     central = rig.core.links[key].central
     rig.answer(key, invite)
     rig.change_list(2, entry(central.name, central.host, io.SERVING, central.pool, started=999_000))
-    assert rig.core.standing() == 0 and causes(rig)[-1] == (isup.RELEASE, outcomes.CUT)
+    assert rig.core.established_calls() == 0 and causes(rig)[-1] == (isup.RELEASE, outcomes.CUT)
 
 
 def test_established_calls_are_resumed_after_a_restart_and_released():
     rig = Rig()
     call = rig.setup(figures=b"dest:0;width:1;via:-1;at:s-0000000a")
-    assert "c" not in rig.received_by and not rig.invites() and rig.core.standing() == 1
+    assert "c" not in rig.received_by and not rig.invites() and rig.core.established_calls() == 1
     rig.open_dialled()
     key = next(k for k, link in rig.core.links.items() if link.central.name == "s-0000000a")
     rig.deliver("caller_lost", "c")
@@ -417,7 +417,7 @@
     call = (77).to_bytes(8, "big")
     rig.bye(key, call, 16)
     rig.setup(call=call, figures=b"dest:0;width:1;at:s-0000000a")
-    assert rig.received_by["c"] == [(isup.RELEASE, call, {isup.CAUSE: b"\x10"})] and not rig.core.standing()
+    assert rig.received_by["c"] == [(isup.RELEASE, call, {isup.CAUSE: b"\x10"})] and not rig.core.established_calls()
     rig.advance(31 * S)
     rig.bye(key, (78).to_bytes(8, "big"))
     assert list(rig.core.early_releases.by_call) == [(78).to_bytes(8, "big")]
@@ -435,7 +435,7 @@
             rig.deliver("server_lost", key, "refused")
     call = (77).to_bytes(8, "big")
     rig.setup(call=call, figures=b"dest:0;width:1;at:s-0000000a")
-    assert rig.received_by["c"] == [(isup.RELEASE, call, {isup.CAUSE: b"\x29"})] and not rig.core.standing()
+    assert rig.received_by["c"] == [(isup.RELEASE, call, {isup.CAUSE: b"\x29"})] and not rig.core.established_calls()
 
 
 def test_a_server_that_moved_is_connected_at_its_new_address_only():
@@ -447,7 +447,7 @@
     before = len(rig.dialled)
     rig.change_list(2, entry("s-0000000a", "127.0.1.7", io.SERVING))
     rig.advance(S)
-    assert {host for _, host, _ in rig.dialled[before:]} == {"127.0.1.7"} and rig.core.standing() == 1
+    assert {host for _, host, _ in rig.dialled[before:]} == {"127.0.1.7"} and rig.core.established_calls() == 1
 
 
 def test_a_release_by_the_caller_of_an_established_call_goes_to_its_server():
@@ -459,7 +459,7 @@
     rig.caller("d")
     rig.release(call, "d")
     assert any(m.method == "BYE" and m.call == call.hex() for k in rig.sent for m in rig.sent[k])
-    assert not rig.core.calls and len(rig.core.door) == 0
+    assert not rig.core.calls and len(rig.core.decision_host) == 0
 
 
 def test_unusable_set_ups_are_refused_and_harm_nobody():
@@ -530,7 +530,7 @@
         for link in [link for link in rig.core.links.values() if link.central.name == name]:
             rig.deliver("server_lost", link.key, "lost")
     assert set(rig.core.centrals) == {"s-0000000a", "s-0000000b"} == {c.name for c in rig.core.by_index.values()}
-    assert not rig.core.calls and len(rig.core.door) == 0 and len(rig.core.links) <= 8
+    assert not rig.core.calls and len(rig.core.decision_host) == 0 and len(rig.core.links) <= 8
     assert len(rig.core.timers) < 20
 
 
--- a/tests/platform/test_platform_rules.py
+++ b/tests/platform/test_platform_rules.py
@@ -179,7 +179,7 @@
     model.finish()
     for call in model.crossed:
         assert model.answers[call] == [isup.ANSWER, isup.RELEASE], "a release was lost with its connection"
-    assert set(rig.seizure_ends().values()) <= {1} and len(rig.core.door) == len(rig.core.calls)
+    assert set(rig.seizure_ends().values()) <= {1} and len(rig.core.decision_host) == len(rig.core.calls)
     assert all(type(e) is not io.SeizureEnded or e.latency_us >= 0 for e in rig.module_events)
 
 
--- a/thorndale/node/shell.py
+++ b/thorndale/node/shell.py
@@ -17,9 +17,9 @@
 from thorndale.node.log import Say
 from thorndale.node.start import StartError, read_file
 from thorndale.platform import central, isup
-from thorndale.platform.beliefs import counted
-from thorndale.platform.border import Border, Send
+from thorndale.platform.border import Border, SocketActions
 from thorndale.platform.errors import PlatformError
+from thorndale.platform.server_status import server_status_rows
 from thorndale.policy import Proxy
 
 OWN = 24  # descriptors of the process itself: streams, loop, listener, control feed, log
@@ -52,7 +52,7 @@
     partial_ms: int = PARTIAL_MS
 
 
-class Shell(Send):
+class Shell(SocketActions):
     """Carries bytes between sockets and the core."""
 
     def __init__(self, loop, path, config, say):
@@ -61,7 +61,7 @@
         self.core = Border(config, Proxy(config.seed, config.settings), self, offset)
         servers = config.sockets // SERVERS_PART
         connect_ms = config.connect_us / 1000
-        faults = (PlatformError, *central.FAULTS)
+        faults = (PlatformError, *central.STREAM_ERRORS)
         self.callers = Tcp(
             loop,
             Bounds(config.sockets - servers - OWN, connect_ms),
@@ -153,7 +153,7 @@
 
     def _for_room(self):
         """The connection to give up for one more: one that never said anything of use, else the longest idle."""
-        return next(self._give_up(self.core.connections.spare(now_us())), None)
+        return next(self._give_up(self.core.connections.closable_for_new(now_us())), None)
 
     def _give_up(self, hops):
         """Those of these connections from callers on which nothing lies unread or unsent. The core is told before they
@@ -177,7 +177,7 @@
         self.core.server_lost(now_us(), hop, kind)
 
     def _event(self, event):
-        self.core.listed(now_us(), event)
+        self.core.server_list_changed(now_us(), event)
 
     def batch(self):
         """What has come is acted on once all that this turn of the loop has read is known: set-ups, their callers'
@@ -215,7 +215,7 @@
     def _tell(self):
         """Beliefs beside what passed, and the counts so far."""
         now = now_us()
-        for row in counted(now, self.core):
+        for row in server_status_rows(now, self.core):
             self.say("info", "server", **row)
         self.say(
             "info",
@@ -223,7 +223,7 @@
             calls=self.core.count,
             callers=self.callers.count,
             feed=self.feed.feed.count,
-            open=self.core.being_set_up(),
+            open=self.core.open_setups(),
             connections=[len(self.callers.by_hop), len(self.servers.by_hop)],
             late_ms=self.late_us // 1000,
             fault=self.callers.fault,
@@ -248,17 +248,17 @@
     async def stop(self):
         """SIGTERM: what still comes is served or refused, as the core's plan has it; the process ends once nothing is
         owed, or when the plan is over. Calls that stand go on: their callers tell the next process of them."""
-        self.say("info", "stopping", open=self.core.being_set_up(), standing=self.core.standing())
+        self.say("info", "stopping", open=self.core.open_setups(), standing=self.core.established_calls())
         self.core.stop(now_us())
         plan = self.core.shutdown
         while not plan.is_over(now_us()):
             await asyncio.sleep(LOOK_S)
-            if plan.takes(now_us()):
+            if plan.accepts_setups(now_us()):
                 continue
-            self._finish(self.core.closable(now_us()))
-            if not self.core.owes(now_us()) and self.callers.is_at_rest():
+            self._finish(self.core.closable_connections(now_us()))
+            if not self.core.has_undelivered_answers(now_us()) and self.callers.is_at_rest():
                 break
-        self.core.fail_open(now_us())
+        self.core.fail_open_setups(now_us())
         await self.servers.close()  # a release that came now would be answered and told to nobody: it comes again
         await self._finish_callers()
 
@@ -315,7 +315,7 @@
     await told.wait()
     await shell.stop()
     signals.block()
-    say("info", "stopped", counts=shell.core.count, standing=shell.core.standing())
+    say("info", "stopped", counts=shell.core.count, standing=shell.core.established_calls())
     await shell.close()
 
 
--- a/thorndale/platform/border.py
+++ b/thorndale/platform/border.py
@@ -29,7 +29,7 @@
 MAINTENANCE_PERIOD_US = 50_000  # between two checks of undelivered releases and of connections to central servers
 
 
-class Send:
+class SocketActions:
     """Socket actions that the core requires; implemented by the shell of the process and by tests."""
 
     def to_caller(self, connection, data):
@@ -53,7 +53,7 @@
 class Border:
     def __init__(self, config, module, send, offset):
         self.config, self.send, self.offset = config, send, offset
-        self.door, self.timers = Door(module), Timers()
+        self.decision_host, self.timers = Door(module), Timers()
         self.connections = CallerConnections()
         self.calls, self.links = {}, {}  # calls by id, being set up or established; links by key
         self.centrals, self.by_index, self.next_index = {}, {}, 0
@@ -71,7 +71,7 @@
         self._apply_entries(now, entries, True, True)
         self.timers.set(now + MAINTENANCE_PERIOD_US, self, "maintain")
 
-    def listed(self, now, event):
+    def server_list_changed(self, now, event):
         """Applies a control feed event; events arrive in order and without repeats."""
         self._apply_entries(now, event.entries, event.whole, False)
 
@@ -103,7 +103,7 @@
                 central.state = io.GONE
                 self._withdraw_unsent(now, central)
         if changes or whole:
-            self.door.tell(io.Servers(tuple(changes), whole, from_disk))
+            self.decision_host.tell(io.Servers(tuple(changes), whole, from_disk))
         for central in list(self.centrals.values()):
             if central.state == io.GONE:
                 self._server_gone(now, central)
@@ -146,7 +146,7 @@
             elif message_type == isup.TEST:
                 passed = self.shutdown is None
                 self.send.to_caller(key, isup.encode(isup.RESULT, call_id, (isup.CAUSE, bytes((passed,)))))
-            elif message_type == isup.HEARD:
+            elif message_type == isup.RELEASE_COMPLETE:
                 self.releases.release_answered(connection, call_id)
             else:
                 raise PlatformError(f"type {message_type} from a caller", "message")
@@ -199,12 +199,12 @@
         self.connections.mark_proven(connection)
         within_us = setup.within_us
         if self.shutdown is not None:
-            if not self.shutdown.takes(now):
+            if not self.shutdown.accepts_setups(now):
                 self._refuse_at_shutdown(connection, call_id)
                 return
             within_us = self.shutdown.allowed_us(now, within_us)
         call = Call(connection, call_id, setup, call_type)
-        call.index = self.door.number(call)
+        call.index = self.decision_host.number(call)
         self.calls[call_id] = connection.setups[call_id] = call
         self._increment("set-ups")
         self._log_call(
@@ -215,7 +215,7 @@
             within_ms=within_us // 1000,
             redial=setup.redial,
         )
-        self.door.tell(
+        self.decision_host.tell(
             io.Call(
                 call.index,
                 setup.call_type,
@@ -283,7 +283,7 @@
         """Drops a call that is being set up, whose caller needs no further answer."""
         self._log_call(call, "given up", why=why)
         self._finish_call(call)
-        self.door.tell(io.CallerAbandoned(call.index))
+        self.decision_host.tell(io.CallerAbandoned(call.index))
         if call.seizure is not None:
             self._cancel_seizure(now, call.seizure, io.CANCELLED, True)
         self.finished_calls.append(call)
@@ -426,7 +426,7 @@
         elif signal.method == "NOTIFY" and signal.report and central.uses_reports_of(link):
             report = sip.report(signal.report, self.config.fields)
             central.count("states")
-            self.door.tell(io.ServerReport(central.index, report, False))
+            self.decision_host.tell(io.ServerReport(central.index, report, False))
 
     def _invite_answered(self, now, link, signal):
         if signal.status < 200:
@@ -477,7 +477,7 @@
             taken=accepted,
             lag_ms=response_us // 1000,
         )
-        self.door.tell(io.Answered(call.index, seizure.number, central.index, response_us))
+        self.decision_host.tell(io.Answered(call.index, seizure.number, central.index, response_us))
         if seizure.early_cause is not None:
             self._release_to_caller(now, call, seizure.early_cause, None)
         elif not accepted:  # its caller's connection is closing, so the call has no caller
@@ -531,7 +531,7 @@
         central.count("completed" if outcome == io.COMPLETED else "cut")
         self._finish_call(call)
         if call.index >= 0:
-            self.door.tell(
+            self.decision_host.tell(
                 io.SeizureEnded(call.index, call.seizure_count - 1, central.index, outcome, 0, 0, True, report)
             )
             self.finished_calls.append(call)
@@ -567,7 +567,7 @@
             call, "attempt ended", server=central.name, outcome=outcomes.NAMES[outcome], attempt=seizure.number
         )
         started_at = seizure.requested_at if seizure.sent_at is None else seizure.sent_at
-        self.door.tell(
+        self.decision_host.tell(
             io.SeizureEnded(call.index, seizure.number, central.index, outcome, 0, now - started_at, final, report)
         )
 
@@ -592,19 +592,19 @@
             self._maintain(now)
             self.timers.set(now + MAINTENANCE_PERIOD_US, self, "maintain")
         else:
-            self.door.tell(io.TimerFired(name))
+            self.decision_host.tell(io.TimerFired(name))
 
     def run(self, now, most=1 << 30):
         return self.timers.run(now, most)
 
     def flush(self, now):
         """Passes events to the module and carries out its actions until there are no further events."""
-        while self.door.events:
-            for action in self.door.take(now):
+        while self.decision_host.events:
+            for action in self.decision_host.take(now):
                 self._apply_action(now, action)
         for call in self.finished_calls:
             if call.index >= 0 and call.seizure is None:
-                self.door.release(call.index)
+                self.decision_host.release(call.index)
                 call.index = -1
         self.finished_calls.clear()
 
@@ -618,7 +618,7 @@
             return
         if action_type is io.SubscribeList:
             return  # the control feed is always followed
-        call = self.door.calls[action.call]
+        call = self.decision_host.calls[action.call]
         if call is None or call.finished:
             return
         if action_type is io.Seize:
@@ -703,24 +703,24 @@
             longest_us = max((call_type.guard_us for call_type in self.call_types.values()), default=0)
             self.shutdown = Shutdown(now, longest_us)
 
-    def closable(self, now):
+    def closable_connections(self, now):
         """Keys of callers' connections that may be closed during the shutdown."""
         return [
             connection.key for connection in list(self.connections.values()) if self.shutdown.may_close(now, connection)
         ]
 
-    def fail_open(self, now):
+    def fail_open_setups(self, now):
         """Gives every open set-up its final answer."""
         for connection in list(self.connections.values()):
             for call in list(connection.setups.values()):
                 self._answer_without_module(now, call, "the process is ending")
 
-    def standing(self):
+    def established_calls(self):
         return sum(len(central.established) for central in self.centrals.values())
 
-    def owes(self, now):
+    def has_undelivered_answers(self, now):
         """Whether any answer or release is still due, including the release at the end of an established call."""
-        return bool(self.being_set_up() or self.standing() or self.releases.has_undelivered(now))
+        return bool(self.open_setups() or self.established_calls() or self.releases.has_undelivered(now))
 
-    def being_set_up(self):
+    def open_setups(self):
         return sum(len(connection.setups) for connection in self.connections.values())
--- a/thorndale/platform/callers.py
+++ b/thorndale/platform/callers.py
@@ -86,7 +86,7 @@
                 if not connection.is_needed():
                     yield connection.key
 
-    def spare(self, now):
+    def closable_for_new(self, now):
         """Keys of connections that may be closed to make room for a new one, best first: those on which nothing is due,
         then those without an open set-up, since a release can be sent on any other connection."""
         yield from self.idle(now, 0)
--- a/thorndale/platform/central.py
+++ b/thorndale/platform/central.py
@@ -133,4 +133,4 @@
     ).encode()
 
 
-FAULTS = (PlatformError, SipError)
+STREAM_ERRORS = (PlatformError, SipError)
--- a/thorndale/platform/beliefs.py
+++ b/thorndale/platform/server_status.py
@@ -1,9 +1,9 @@
 """Log rows that compare the module's estimates of each central server with what this proxy observed on its sockets."""
 
 
-def counted(now, border):
+def server_status_rows(now, border):
     """One row for each central server: current estimates, and the counts since the previous call, which are reset."""
-    module, rows = border.door.module, []
+    module, rows = border.decision_host.module, []
     for central in border.centrals.values():
         s = central.index
         if s >= len(module.state):
--- a/thorndale/platform/shutdown.py
+++ b/thorndale/platform/shutdown.py
@@ -22,7 +22,7 @@
         self.ends_at = earliest_kill - EXIT_LEAD_US
         self.refuses_at = min(signal_at + SETUP_GRACE_US, self.ends_at)
 
-    def takes(self, now):
+    def accepts_setups(self, now):
         """Whether a set-up that arrives now is accepted: it may be answered before the process ends."""
         return now < self.refuses_at
 
