--- a/bench/way.py
+++ b/bench/way.py
@@ -5,10 +5,10 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))  # run as a script, not installed
 
-from thorndale.call import door
+from thorndale.call import decision
 from thorndale.daemon.start import main
 from thorndale.emulator.ways import WAYS
 
 if __name__ == "__main__":
-    door.Proxy = WAYS[sys.argv[1]]
+    decision.Proxy = WAYS[sys.argv[1]]
     sys.exit(main(sys.argv[3]))
--- a/tests/call/rig.py
+++ b/tests/call/rig.py
@@ -13,13 +13,13 @@
                {name: "leaving-soon", setup_target_ms: 800, guard_ms: 6000, revenue: 6, trunk_groups: ["b", "a"]}],
   matching: {text: 'rule "a" { when prefix(number, "+22133") type leaving-soon } rule "b" { when prefix(number, "+221") type timetable }'}, %s}"""
 LISTEN = [("udp", "127.0.0.1", 5060), ("tcp", "127.0.0.1", 5060)]
-CALLER, BOX1, BOX2 = Hop("udp", "127.0.0.1", 7000), Hop("udp", "127.0.0.1", 6001), Hop("tcp", "127.0.0.1", 6002)
+CALLER, SERVER1, SERVER2 = Hop("udp", "127.0.0.1", 7000), Hop("udp", "127.0.0.1", 6001), Hop("tcp", "127.0.0.1", 6002)
 SDP = "v=0\r\ns=x\r\n"
 
 
 class Rig:
     def __init__(self, extra="", seed=1, book=None):
-        self.now, self.sent, self.lines, self.kept = 1_000_000, [], [], []
+        self.now, self.sent, self.log_lines, self.saved_copies = 1_000_000, [], [], []
         settings = parse(SETTINGS % extra)
         self.border = Border(
             settings,
@@ -27,13 +27,13 @@
             seed,
             LISTEN,
             lambda hop, data: self.sent.append((hop, data)),
-            lambda level, event, **fields: self.lines.append((level, event, fields)),
-            self.kept.append,
+            lambda level, event, **fields: self.log_lines.append((level, event, fields)),
+            self.saved_copies.append,
             wall_offset_us=0,
         )
         self.border.start(self.now, book)
 
-    def give(self, data, hop=CALLER):
+    def deliver(self, data, hop=CALLER):
         data = data.encode() if isinstance(data, str) else data
         self.border.receive(self.now, data, hop, hop.transport == "tcp")
         self.border.flush(self.now)
@@ -54,22 +54,22 @@
             self.border.flush(self.now)
         self.now = end
 
-    def stand_still(self, us):
+    def stall(self, us):
         """Advances time by `us` as one stall: timers that are due run only at its end."""
         self.now += us
-        self.border.late(self.now, us)
+        self.border.record_loop_delay(self.now, us)
         self.border.run(self.now)
         self.border.flush(self.now)
 
-    def take(self, hop=None):
+    def take_sent(self, hop=None):
         """The parsed messages sent (to this hop) since the last call."""
         matching_hop = [(h, m.parse(d)) for h, d in self.sent if hop is None or h[:3] == hop[:3]]
         self.sent = [(h, d) for h, d in self.sent if hop is not None and h[:3] != hop[:3]]
         return [message for _, message in matching_hop]
 
-    def counts(self):
+    def leaked_resources(self):
         self.border.finish()
-        return {k: v for k, v in self.border.left().items() if v}
+        return {k: v for k, v in self.border.resources_in_use().items() if v}
 
     # ---- the caller ----
 
@@ -98,7 +98,7 @@
     def cancel(self, **overrides):
         return self.invite(method="CANCEL", body="", **overrides)
 
-    def inside(self, method, answer, seq=1, branch="z9hG4bKin", hop=CALLER, body="", extra=""):
+    def in_dialog(self, method, answer, seq=1, branch="z9hG4bKin", hop=CALLER, body="", extra=""):
         """A caller's request inside the dialog that the response `answer` created."""
         uri, from_value, to_value = answer.contact.uri, answer.get("from"), answer.get("to")
         port = 7000 if hop == CALLER else hop.port
@@ -110,7 +110,7 @@
 
     # ---- a central server ----
 
-    def answer(self, invite, status, tag="bt", extra="", hop=BOX1, body=""):
+    def answer(self, invite, status, tag="bt", extra="", hop=SERVER1, body=""):
         """Delivers the server's response to an INVITE or another request of the proxy."""
         response = m.response_to(invite, status, tag, body=body.encode())
         if 100 < status < 300:
@@ -122,21 +122,21 @@
             if line:
                 name, _, value = line.partition(": ")
                 response.add(name, value)
-        self.give(response.encode(), hop)
+        self.deliver(response.encode(), hop)
 
-    def standing(self, hop=CALLER, **overrides):
+    def establish_call(self, hop=CALLER, **overrides):
         """Establishes a call at box1. Returns the caller's 200 and the server's INVITE."""
-        self.give(self.invite(hop=hop, **overrides), hop)
-        invite = self.only(BOX1, "INVITE")
+        self.deliver(self.invite(hop=hop, **overrides), hop)
+        invite = self.sole_request(SERVER1, "INVITE")
         self.answer(invite, 100)
         self.answer(invite, 200, body=SDP)
-        ok = [r for r in self.take(hop) if r.status == 200][0]
-        self.give(self.inside("ACK", ok, hop=hop), hop)
-        self.take(BOX1)
+        ok = [r for r in self.take_sent(hop) if r.status == 200][0]
+        self.deliver(self.in_dialog("ACK", ok, hop=hop), hop)
+        self.take_sent(SERVER1)
         return ok, invite
 
-    def only(self, hop, method):
-        requests = [r for r in self.take(hop) if r.method == method]
+    def sole_request(self, hop, method):
+        requests = [r for r in self.take_sent(hop) if r.method == method]
         assert len(requests) == 1, requests
         return requests[0]
 
--- a/tests/call/test_book.py
+++ b/tests/call/test_book.py
@@ -1,11 +1,11 @@
 """The pool book's subscriber: order, gaps, malformed notifications, a lost subscription; and the copy on disk."""
 
 import pytest
-from call.rig import BOX1, Rig, methods, statuses
+from call.rig import SERVER1, Rig, methods, statuses
 from call.test_calls import notify
 
 from thorndale import interface as io
-from thorndale.call.book import Body, Entry, read, seal, unseal
+from thorndale.call.book import Body, Entry, decode_copy, encode_copy, parse_body
 from thorndale.daemon import keep
 from thorndale.sip.errors import SipError
 from thorndale.sip.transaction import Hop
@@ -16,13 +16,13 @@
 
 def subscribed_rig(**options):
     rig = Rig(BOOK_SETTING, **options)
-    subscribe = rig.only(BOOK, "SUBSCRIBE")
+    subscribe = rig.sole_request(BOOK, "SUBSCRIBE")
     rig.answer(subscribe, 200, tag="bk", hop=BOOK, extra="Expires: 10")
     return rig, subscribe
 
 
 def server_states(rig):
-    return [rig.border.door.server_state(n) for n in range(2)]
+    return [rig.border.module_host.server_state(n) for n in range(2)]
 
 
 def test_lists_in_order_repeated_late_and_with_a_gap():
@@ -31,11 +31,11 @@
     notify(rig, subscribe, 5, False, [("box1", "draining")])
     assert server_states(rig) == ["draining", "serving"]
     notify(rig, subscribe, 4, True, [("box1", "serving"), ("box2", "serving")], seq=6)
-    assert server_states(rig) == ["draining", "serving"] and rig.border.book.told["repeated"] == 1
-    rig.take()
+    assert server_states(rig) == ["draining", "serving"] and rig.border.book.counts["repeated"] == 1
+    rig.take_sent()
     notify(rig, subscribe, 7, False, [("box2", "gone")], seq=7)  # 6 is missing
-    assert server_states(rig) == ["draining", "serving"] and rig.border.book.told["gaps"] == 1
-    assert methods(rig.take(BOOK)) == ["SUBSCRIBE"]  # requests the whole list inside the dialog
+    assert server_states(rig) == ["draining", "serving"] and rig.border.book.counts["gaps"] == 1
+    assert methods(rig.take_sent(BOOK)) == ["SUBSCRIBE"]  # requests the whole list inside the dialog
     notify(rig, subscribe, 7, True, [("box1", "serving")], seq=8)
     assert server_states(rig) == ["serving", "gone"]
 
@@ -54,54 +54,56 @@
     notify(rig, subscribe, 1, True, [("box1", "draining"), ("box9", "serving")])
     assert server_states(rig)[0] == "draining"
     notify(rig, subscribe, 2, False, [("box1", "asleep")])
-    assert statuses(rig.take(BOOK))[-1] == 400 and server_states(rig)[0] == "draining"
-    events = [event for _, event, _ in rig.lines]
+    assert statuses(rig.take_sent(BOOK))[-1] == 400 and server_states(rig)[0] == "draining"
+    events = [event for _, event, _ in rig.log_lines]
     assert "unknown server in the pool book" in events and "pool book refused" in events
 
 
 def test_it_is_refreshed_and_a_lost_subscription_leaves_the_list_in_force():
     rig, subscribe = subscribed_rig()
     notify(rig, subscribe, 1, True, [("box1", "draining"), ("box2", "serving")])
-    rig.take()
+    rig.take_sent()
     rig.run(7_100_000)
-    refresh = rig.only(BOOK, "SUBSCRIBE")
+    refresh = rig.sole_request(BOOK, "SUBSCRIBE")
     assert refresh.to_tag == "bk" and refresh.cseq[0] == 2
     rig.answer(refresh, 481, hop=BOOK)
     assert server_states(rig)[0] == "draining"
     rig.run(600_000)
-    fresh = [r for r in rig.take(BOOK) if r.method == "SUBSCRIBE"]
+    fresh = [r for r in rig.take_sent(BOOK) if r.method == "SUBSCRIBE"]
     assert len(fresh) == 1 and fresh[0].to_tag == "" and fresh[0].call_id != subscribe.call_id
 
 
 def test_a_book_that_answers_nothing_is_asked_again_ever_later():
     rig = Rig(BOOK_SETTING + ", sip: {t1_ms: 10, t2_ms: 80}")
     rig.run(30_000_000)
-    attempts = {r.call_id for r in rig.take(BOOK) if r.method == "SUBSCRIBE"}
+    attempts = {r.call_id for r in rig.take_sent(BOOK) if r.method == "SUBSCRIBE"}
     assert 4 <= len(attempts) <= 12
-    rig.give(rig.invite())
-    assert methods(rig.take(BOX1)) == ["INVITE"]  # the servers of the settings are used meanwhile
+    rig.deliver(rig.invite())
+    assert methods(rig.take_sent(SERVER1)) == ["INVITE"]  # the servers of the settings are used meanwhile
 
 
 def test_started_servers_are_told_on_our_clock():
     rig, subscribe = subscribed_rig()
     border = rig.border
     border.book.wall_offset_us = 1_764_000_000_000_000 - rig.now
-    entries = border.book._entries([Entry("box1", "serving", 1_764_000_000_000 - 400), Entry("box2", "serving", 5)])
+    entries = border.book._module_entries(
+        [Entry("box1", "serving", 1_764_000_000_000 - 400), Entry("box2", "serving", 5)]
+    )
     assert entries == (io.Server(0, 0, io.SERVING, rig.now - 400_000), io.Server(1, 1, io.SERVING, 0))
 
 
 def test_the_copy_on_disk_is_whole_or_refused(tmp_path):
     body = Body("b", 3, True, [Entry("box1", "draining", 7)])
-    data = seal(body)
-    assert unseal(data) == body
+    data = encode_copy(body)
+    assert decode_copy(data) == body
     for cut in range(len(data) - 1):
         with pytest.raises(SipError):
-            unseal(data[:cut])
+            decode_copy(data[:cut])
     for at in range(0, len(data), 7):
         corrupt = bytearray(data)
         corrupt[at] ^= 4
         with pytest.raises(SipError):
-            unseal(bytes(corrupt))
+            decode_copy(bytes(corrupt))
     path, logged = str(tmp_path / "book"), []
     keep.replace(path, data)
     assert keep.read(path, lambda *a, **k: logged.append(a)) == body
@@ -114,4 +116,4 @@
 def test_read_names_what_is_wrong():
     for text in (b"{", b"[]", b'{"book":1}', b'{"book":"a","version":1,"full":true,"servers":[{"name":"x"}]}'):
         with pytest.raises(SipError):
-            read(text)
+            parse_body(text)
--- a/tests/call/test_chained.py
+++ b/tests/call/test_chained.py
@@ -1,7 +1,7 @@
 """Chained proxies over SIP: 181 Call Is Being Forwarded, and the location of the cause of a refusal (RFC 8606)."""
 
 import pytest
-from call.rig import BOX1, BOX2, CALLER, Rig, statuses
+from call.rig import CALLER, SERVER1, SERVER2, Rig, statuses
 
 from thorndale import interface as io
 
@@ -15,18 +15,18 @@
 
     It runs for 0.4 s, which is before a final answer is retransmitted for lack of an ACK."""
     rig = Rig(settings)
-    rig.give(rig.invite())
-    invite = rig.only(BOX1, "INVITE")
+    rig.deliver(rig.invite())
+    invite = rig.sole_request(SERVER1, "INVITE")
     rig.answer(invite, status, extra=extra)
     rig.run(400_000)
-    return rig.take(CALLER), [r for r in rig.take(BOX2) if r.method == "INVITE"], rig
+    return rig.take_sent(CALLER), [r for r in rig.take_sent(SERVER2) if r.method == "INVITE"], rig
 
 
 def test_a_refusal_from_beyond_is_passed_back_at_once_and_holds_nothing_against_the_server():
     answers, retries, rig = refused_call(REFUSED_BEYOND)
     assert statuses(answers) == [100, 503] and not retries
     assert answers[-1].get("reason") == "Q.850;cause=42;location=BI"
-    module = rig.border.door.module
+    module = rig.border.module_host.module
     assert module.skip_until[0] == 0 and module.queue_delay[0] == 0 and module.failure_log_odds[0] == 0
 
 
@@ -58,28 +58,28 @@
     assert statuses(answers) == [100] and len(retries) == 1
     rig = Rig("instances: 1")
     onward = watch_onward(rig)
-    rig.give(rig.invite())
-    rig.answer(rig.only(BOX1, "INVITE"), 181)
+    rig.deliver(rig.invite())
+    rig.answer(rig.sole_request(SERVER1, "INVITE"), 181)
     assert not onward
 
 
 def watch_onward(rig):
     """Records the Onward events, of calls that a server forwarded, which the module receives."""
-    onward, handle = [], rig.border.door.module.handle
+    onward, handle = [], rig.border.module_host.module.handle
 
     def recording_handle(now, events):
         onward.extend(e for e in events if type(e) is io.Forwarded)
         return handle(now, events)
 
-    rig.border.door.module.handle = recording_handle
+    rig.border.module_host.module.handle = recording_handle
     return onward
 
 
 def test_a_call_carried_on_is_told_once_and_its_later_time_is_not_the_servers():
     rig = Rig(CHAINED)
-    onward, module = watch_onward(rig), rig.border.door.module
-    rig.give(rig.invite())
-    invite = rig.only(BOX1, "INVITE")
+    onward, module = watch_onward(rig), rig.border.module_host.module
+    rig.deliver(rig.invite())
+    invite = rig.sole_request(SERVER1, "INVITE")
     rig.run(30_000)
     rig.answer(invite, 181)
     rig.answer(invite, 181)
@@ -87,16 +87,16 @@
     rig.run(900_000)
     assert module._expected_delay(0) == 0  # none of the 930 ms without an answer counts against the server
     rig.answer(invite, 503, extra=REFUSED_BY_SERVER)  # no location, but after the call was forwarded
-    assert statuses(rig.take(CALLER))[-1] == 503
+    assert statuses(rig.take_sent(CALLER))[-1] == 503
     assert module.skip_until[0] == 0
 
 
 def test_a_late_181_of_a_seizure_given_up_tells_nothing():
     rig = Rig(CHAINED)
     onward = watch_onward(rig)
-    rig.give(rig.invite())
-    invite = rig.only(BOX1, "INVITE")
+    rig.deliver(rig.invite())
+    invite = rig.sole_request(SERVER1, "INVITE")
     rig.answer(invite, 100)
-    rig.give(rig.cancel())
+    rig.deliver(rig.cancel())
     rig.answer(invite, 181)
     assert not onward
--- a/tests/call/test_held.py
+++ b/tests/call/test_held.py
@@ -2,7 +2,7 @@
 
 Events that arrive during the wait must be handled after the answer is sent, and must not be lost."""
 
-from call.rig import BOX1, CALLER, Rig
+from call.rig import CALLER, SERVER1, Rig
 
 from thorndale.records import frame as f
 from thorndale.records.journal import Journal, Limits
@@ -48,16 +48,16 @@
 
 
 def answered_by_server(rig):
-    rig.give(rig.invite())
+    rig.deliver(rig.invite())
     rig.settle()
-    rig.take(CALLER)
-    invite = rig.take(BOX1)[0]
+    rig.take_sent(CALLER)
+    invite = rig.take_sent(SERVER1)[0]
     rig.answer(invite, 200)
     return invite
 
 
 def final_statuses(rig):
-    return [x.status for x in rig.take(CALLER) if x.status >= 200 and x.cseq[1] == "INVITE"]
+    return [x.status for x in rig.take_sent(CALLER) if x.status >= 200 and x.cseq[1] == "INVITE"]
 
 
 def test_the_200_goes_behind_its_record():
@@ -71,12 +71,12 @@
 
 def test_the_refusal_goes_behind_its_record_and_a_cancel_meanwhile_changes_nothing():
     rig = ledger_rig()
-    rig.give(rig.invite())
+    rig.deliver(rig.invite())
     rig.settle()
-    invite = rig.take(BOX1)[0]
-    rig.take()
+    invite = rig.take_sent(SERVER1)[0]
+    rig.take_sent()
     rig.answer(invite, 486)
-    rig.give(rig.cancel())
+    rig.deliver(rig.cancel())
     assert final_statuses(rig) == []
     rig.settle()
     assert final_statuses(rig) == [486]
@@ -88,23 +88,23 @@
 def test_a_bye_of_the_box_meanwhile_reaches_the_caller_after_its_200_and_its_ack():
     rig = ledger_rig()
     invite = answered_by_server(rig)
-    ack = next(x for x in rig.take(BOX1) if x.method == "ACK")
+    ack = next(x for x in rig.take_sent(SERVER1) if x.method == "ACK")
     assert ack.to_tag == "bt"
-    rig.give(
+    rig.deliver(
         f"BYE {invite.contact.uri} SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:6001;branch=z9hG4bKbye\r\n"
         f"Max-Forwards: 70\r\nFrom: {ack.get('to')}\r\nTo: {ack.get('from')}\r\nCall-ID: {ack.call_id}\r\n"
         f"CSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n",
-        BOX1,
+        SERVER1,
     )
-    assert [x.method for x in rig.take(CALLER)] == []
+    assert [x.method for x in rig.take_sent(CALLER)] == []
     rig.settle()
-    sent = rig.take(CALLER)
+    sent = rig.take_sent(CALLER)
     assert [x.status for x in sent] == [200]
     text = rig.invite(method="ACK", body="", branch="z9hG4bKa").replace(
         "To: <sip:+22170000123@127.0.0.1>", f"To: <sip:+22170000123@127.0.0.1>;tag={sent[0].to_tag}"
     )
-    rig.give(text)
-    assert [x.method for x in rig.take(CALLER)] == ["BYE"]
+    rig.deliver(text)
+    assert [x.method for x in rig.take_sent(CALLER)] == ["BYE"]
     rig.settle()
     assert [(r.how, r.by) for r in decoded_records(rig, f.ENDED)] == [("released", "server")]
 
@@ -119,14 +119,14 @@
 
 def test_a_caller_that_leaves_has_its_487_behind_its_record():
     rig = ledger_rig()
-    rig.give(rig.invite())
+    rig.deliver(rig.invite())
     rig.settle()
-    invite = rig.take(BOX1)[0]
+    invite = rig.take_sent(SERVER1)[0]
     rig.answer(invite, 180)
-    rig.take()
-    rig.give(rig.cancel())
+    rig.take_sent()
+    rig.deliver(rig.cancel())
     assert final_statuses(rig) == []
-    assert [x.method for x in rig.take(BOX1)] == ["CANCEL"]  # sent to the server without waiting for the record
+    assert [x.method for x in rig.take_sent(SERVER1)] == ["CANCEL"]  # sent to the server without waiting for the record
     rig.settle()
     assert [(r.how, r.by, r.status) for r in decoded_records(rig, f.WHOLE)] == [("left", "caller", 487)]
 
@@ -136,7 +136,7 @@
     answered_by_server(rig)
     rig.border.flush(rig.now)
     rig.border.ledger.done(rig.now, rig.ops.pop(0), "write: no space left")
-    rig.give(rig.invite(branch="z9hG4bKc2", call="c2", tag="ct2"))
+    rig.deliver(rig.invite(branch="z9hG4bKc2", call="c2", tag="ct2"))
     rig.run(250_000)
     assert sorted(final_statuses(rig)) == [200, 503]
     assert rig.border.count["refused for want of records"] == 1
@@ -148,8 +148,8 @@
 
 def test_an_invite_that_becomes_no_call_has_its_record_too():
     rig = ledger_rig()
-    rig.give(rig.invite(number="+33100000"))
-    rig.give(rig.invite(branch="z9hG4bKc3", call="c3", tag="ct3", extra="Require: 100rel\r\n"))
+    rig.deliver(rig.invite(number="+33100000"))
+    rig.deliver(rig.invite(branch="z9hG4bKc3", call="c3", tag="ct3", extra="Require: 100rel\r\n"))
     assert final_statuses(rig) == []
     rig.settle()
     assert sorted(final_statuses(rig)) == [404, 420]
@@ -163,10 +163,10 @@
 def test_the_four_ways_differ_in_what_an_answer_waits_for():
     for answer_mode, expected in (("after", [200]), ("intent", [])):
         rig = ledger_rig(answer_mode)
-        rig.give(rig.invite())
+        rig.deliver(rig.invite())
         rig.border.flush(rig.now)
-        invite = rig.take(BOX1)[0]
-        rig.take()
+        invite = rig.take_sent(SERVER1)[0]
+        rig.take_sent()
         rig.answer(invite, 200)
         assert final_statuses(rig) == expected, answer_mode
         rig.run(20_000)
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from thorndale.call.door import decider, module_settings, site_settings
+from thorndale.call.decision import build_module, module_settings, site_settings
 from thorndale.config.load import ConfigError, load, parse
 from thorndale.policy import Proxy
 from thorndale.sites.router import SiteRouter
@@ -94,7 +94,7 @@
         'trunk_groups: ["dakar-1", "dakar-2", "thies"] }', 'trunk_groups: ["thies"] }', 1
     )
     assert site_settings(parse(narrow))["site_order"][0] == [[1], [1]]
-    assert type(decider(1, settings)) is SiteRouter and type(decider(1, parse(GOOD))) is Proxy
+    assert type(build_module(1, settings)) is SiteRouter and type(build_module(1, parse(GOOD))) is Proxy
 
 
 @pytest.mark.parametrize(
--- a/tests/match/test_rule_sets.py
+++ b/tests/match/test_rule_sets.py
@@ -5,7 +5,7 @@
 import pytest
 from match.test_expressions import facts
 
-from thorndale.call.passing import plain_value
+from thorndale.call.forwarding import header_safe_text
 from thorndale.match.faults import MatchError
 from thorndale.match.rules import Names, Outcome, RuleSet, load, plain
 
@@ -60,7 +60,7 @@
     made = load(source, NAMES)
     groups = [made.sort(facts(caller=f"+22177{n:07d}")).group for n in range(2_000)]
     assert 0.70 < groups.count("a") / len(groups) < 0.80
-    assert plain_value(" a\r\nVia: x\0 ") == "a  Via: x"
+    assert header_safe_text(" a\r\nVia: x\0 ") == "a  Via: x"
 
 
 FAULTY = """set s = ["a", 5]
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -31,7 +31,7 @@
     def lost(self, now, hop, kind):
         self.failed.append((hop, kind))
 
-    def late(self, now, us):
+    def record_loop_delay(self, now, us):
         self.lags.append(us)
 
     def run(self, now, most=1 << 30):
--- a/tests/sip/test_fuzz.py
+++ b/tests/sip/test_fuzz.py
@@ -163,21 +163,21 @@
 
 def test_the_border_takes_anything():
     """Mutated calls into a whole border proxy: no exception, and nothing held once time has passed."""
-    from call.rig import BOX1, Rig
+    from call.rig import SERVER1, Rig
 
     chance = random.Random(7)
     rig = Rig("limits: {lag_ms: 0}")
     for n in range(3_000):
         data = rig.invite(branch=f"z9hG4bK{n % 50}", call=f"c{n % 60}").encode()
-        rig.give(mutate(data, chance), Hop("udp", "127.0.0.1", 7000))
-        for sent in rig.take(BOX1):
+        rig.deliver(mutate(data, chance), Hop("udp", "127.0.0.1", 7000))
+        for sent in rig.take_sent(SERVER1):
             if sent.method == "INVITE":
                 answer = m.response_to(sent, chance.choice([100, 180, 200, 200, 486, 503]), "t").encode()
-                rig.give(mutate(answer, chance) if chance.random() < 0.5 else answer, BOX1)
+                rig.deliver(mutate(answer, chance) if chance.random() < 0.5 else answer, SERVER1)
         rig.run(20_000)
         rig.sent.clear()
     rig.run(20_000_000)
     rig.border.close_calls(rig.now)
     rig.border.flush(rig.now)
     rig.run(200_000_000)
-    assert rig.counts() == {}
+    assert rig.leaked_resources() == {}
--- a/tests/standins/broken.py
+++ b/tests/standins/broken.py
@@ -5,8 +5,8 @@
 
 sys.path.insert(0, str(Path(__file__).parents[2]))  # run as a script, not installed
 
-from thorndale.call import border, call, door
-from thorndale.call.book import Book, Entry
+from thorndale.call import border, call, decision
+from thorndale.call.book import BookSubscriber, Entry
 from thorndale.call.call import Call
 from thorndale.call.seizure import Seizure
 from thorndale.cli.main import app
@@ -30,25 +30,25 @@
     """A call that is given up or rejected is never told so."""
 
     def silent(self, now, status, extra, how, reason=""):
-        self.owed = False
-        self.border.ended(self, how, status)
-        self._over()
+        self.module_open = False
+        self.border.call_ended(self, how, status)
+        self._close()
 
-    Call._answer = silent
+    Call._answer_failure = silent
 
 
 def after_the_drain():
     """The book's 'draining' is taken for 'serving'."""
-    entries = Book._entries
-    Book._entries = lambda self, servers: entries(
+    entries = BookSubscriber._module_entries
+    BookSubscriber._module_entries = lambda self, servers: entries(
         self, [Entry(e.name, "serving" if e.state == "draining" else e.state, e.started_ms) for e in servers]
     )
 
 
 def no_release_wait():
     """The module is told that nothing need be awaited."""
-    known = door.module_settings
-    door.module_settings = lambda settings: {**known(settings), "release_us": 0}
+    known = decision.module_settings
+    decision.module_settings = lambda settings: {**known(settings), "release_us": 0}
 
 
 def cold_pushed():
--- a/thorndale/call/book.py
+++ b/thorndale/call/book.py
@@ -43,23 +43,23 @@
     servers: list[Entry]
 
 
-def seal(body):
+def encode_copy(body):
     """Encodes a list for its disk copy: one line with a checksum, one line of JSON. Returns bytes."""
     text = msgspec.json.encode(body)
     return b"thorndale pool book 1 " + xxh64_hexdigest(text).encode() + b"\n" + text + b"\n"
 
 
-def unseal(data):
+def decode_copy(data):
     """Decodes a disk copy. Returns a Body; raises SipError if the copy is corrupt, truncated or of another format."""
     header, _, text = data.partition(b"\n")
     if not header.startswith(b"thorndale pool book 1 "):
         raise SipError("not a copy of the pool book, or one of another format version", "pool book on disk")
     if header.rsplit(b" ", 1)[1] != xxh64_hexdigest(text.rstrip(b"\n")).encode():
         raise SipError("checksum mismatch: the copy is corrupt or truncated", "pool book on disk")
-    return read(text)
+    return parse_body(text)
 
 
-def read(text):
+def parse_body(text):
     """Parses the body of a notification. Returns a Body; raises SipError."""
     try:
         body = msgspec.json.decode(text, type=Body)
@@ -73,7 +73,7 @@
     return body
 
 
-class Book:
+class BookSubscriber:
     """The subscriber. States: idle, subscribing (SUBSCRIBE sent), subscribed, waiting (for the next attempt), stopped.
 
     `border` provides timers, the transaction layer, tokens and random numbers. `save_copy(bytes)` receives the disk
@@ -89,7 +89,7 @@
         self.state, self.failed_attempts, self.dialog, self.timer = "idle", 0, None, None
         self.token, self.tag, self.call_id = "", "", ""
         self.body = None  # the list in force, or None
-        self.told = {"repeated": 0, "gaps": 0, "unknown": 0, "bad": 0, "lost": 0}
+        self.counts = {"repeated": 0, "gaps": 0, "unknown": 0, "bad": 0, "lost": 0}
 
     # ---- the list ----
 
@@ -98,18 +98,18 @@
         ago."""
         if body is None:
             entries = tuple(io.Server(n, self.server_groups[n], io.SERVING, 0) for n in range(len(self.server_groups)))
-            self.border.door.tell(io.Servers(entries, True, True))
+            self.border.module_host.tell(io.Servers(entries, True, True))
         else:
             self.body = body
-            self.border.door.tell(io.Servers(self._entries(body.servers), True, True))
+            self.border.module_host.tell(io.Servers(self._module_entries(body.servers), True, True))
 
-    def _entries(self, servers):
+    def _module_entries(self, servers):
         """The module's entries; a server that is not in the settings is omitted, counted and logged."""
         entries = []
         for entry in servers:
             index = self.servers.get(entry.name)
             if index is None:
-                self.told["unknown"] += 1
+                self.counts["unknown"] += 1
                 self.border.log("warning", "unknown server in the pool book", server=entry.name[:60])
                 continue
             started = entry.started_ms * 1000 - self.wall_offset_us if entry.started_ms else 0
@@ -121,7 +121,7 @@
         current = self.body
         same = current is not None and current.book == body.book
         if same and body.version <= current.version:
-            self.told["repeated"] += 1
+            self.counts["repeated"] += 1
             return False
         if body.full:
             self.body = body
@@ -131,10 +131,10 @@
             remaining = [e for e in merged.values() if e.state != "gone"]
             self.body = Body(body.book, body.version, True, remaining)
         else:
-            self.told["gaps"] += 1
+            self.counts["gaps"] += 1
             return True
-        self.border.door.tell(io.Servers(self._entries(body.servers), body.full, False))
-        self.save_copy(seal(self.body))
+        self.border.module_host.tell(io.Servers(self._module_entries(body.servers), body.full, False))
+        self.save_copy(encode_copy(self.body))
         return False
 
     # ---- the subscription ----
@@ -211,11 +211,11 @@
     def _subscription_lost(self, now):
         """The subscription is lost; the list stays in force. Schedules a new attempt and informs the module, which may
         request one by itself."""
-        self.told["lost"] += 1
+        self.counts["lost"] += 1
         self.border.owners.pop(self.token, None)
         self.dialog = None
         self._schedule_retry(now)
-        self.border.door.tell(io.ListFailed())
+        self.border.module_host.tell(io.ListFailed())
 
     def _schedule_retry(self, now, wait=0):
         self.state = "waiting"
@@ -248,16 +248,16 @@
         missed = False
         if message.body:
             try:
-                missed = self.apply(read(message.body))
+                missed = self.apply(parse_body(message.body))
             except SipError as error:
-                self.told["bad"] += 1
+                self.counts["bad"] += 1
                 self.border.log("warning", "pool book refused", reason=str(error))
                 tx.respond(now, 400)
                 return
         tx.respond(now, 200)
         if state.strip().lower() == "terminated":
             wait = parse_retry_after(parse_params(rest).get("retry-after", "")) * 1_000_000
-            self.told["lost"] += 1
+            self.counts["lost"] += 1
             self.border.owners.pop(self.token, None)
             self.dialog = None
             self._schedule_retry(now, wait)
--- a/thorndale/call/border.py
+++ b/thorndale/call/border.py
@@ -11,13 +11,13 @@
 from xxhash import xxh64_intdigest
 
 from thorndale import interface as io
-from thorndale.call.book import Book
+from thorndale.call.book import BookSubscriber
 from thorndale.call.call import CALLER, SERVER, Call
+from thorndale.call.call_records import call_record, refused_invite_record
 from thorndale.call.causes import retry_after_fields
-from thorndale.call.detail import call_record, refused_invite_record
-from thorndale.call.door import decider
-from thorndale.call.passing import next_max_forwards, refused_extensions
-from thorndale.call.press import OverloadControl
+from thorndale.call.decision import build_module
+from thorndale.call.forwarding import next_max_forwards, refused_extensions
+from thorndale.call.overload import OverloadControl
 from thorndale.call.sort import CallClassifier, mask_number, mask_numbers
 from thorndale.call.tally import Tally
 from thorndale.door import Door
@@ -80,9 +80,9 @@
         times = Times(sip.t1_ms * 1000, sip.t2_ms * 1000, sip.t4_ms * 1000, max(sip.t1_ms * 64, 1) * 1000)
         self.ledger, self.mask_caller, self.record_timer = ledger or Unkept(), mask_caller, None
         self.layer = Layer(self.timers, times, settings.limits.transactions, self, self._transmit)
-        self.door = Door(decider(seed, settings))
+        self.module_host = Door(build_module(seed, settings))
         self.classifier, self.wall_offset_us = CallClassifier(settings, rules), wall_offset_us
-        self.press = OverloadControl(settings.limits.lag_ms * 1000, settings.limits.open_calls, times.most)
+        self.overload_control = OverloadControl(settings.limits.lag_ms * 1000, settings.limits.open_calls, times.most)
         self.server_hops = [hop_of(s.uri) for s in settings.servers]
         self.server_names = [s.name for s in settings.servers]
         self.server_groups = [s.trunk_group for s in settings.servers]
@@ -103,14 +103,14 @@
         self._listeners, self._contacts = {}, {}
         for transport, host, port in listeners:
             self._listeners.setdefault((transport, ":" in host), (transport, host, port))
-        self.share = None  # exchange with the other proxies of the fleet; set by the daemon
-        self.book = Book(self, settings, wall_offset_us, save_book_copy) if settings.book else None
+        self.fleet = None  # exchange with the other proxies of the fleet; set by the daemon
+        self.book = BookSubscriber(self, settings, wall_offset_us, save_book_copy) if settings.book else None
 
     def wall_us(self):
         """The wall clock, for time marks in records and logs. A daemon with access to the real clock replaces it."""
         return self.now + self.wall_offset_us
 
-    def use(self, rules):
+    def use_rules(self, rules):
         """Classifies new calls by another validated RuleSet; calls already accepted keep their classification."""
         self.classifier = CallClassifier(self.settings, rules)
 
@@ -196,7 +196,7 @@
         else:
             groups = {g.name: n for n, g in enumerate(self.settings.trunk_groups)}
             entries = tuple(io.Server(n, groups[g], io.SERVING, 0) for n, g in enumerate(self.server_groups))
-            self.door.tell(io.Servers(entries, True, False))
+            self.module_host.tell(io.Servers(entries, True, False))
         self.sweep_timer = self.timers.set(now + SWEEP_INTERVAL_US, self, "sweep")
         self.flush(now)
 
@@ -246,14 +246,14 @@
     def _refuse_early(self, now, message, hop):
         """Refuses a new call without a transaction if this proxy is stopping, overloaded or unable to write records.
         Returns whether it did. The ACK of such a refusal matches no transaction and is ignored."""
-        overload = self.press
+        overload = self.overload_control
         if overload.recent_keys or overload.previous_keys:
             key = self.layer.key(message, message.via)
             if overload.was_refused(_request_hash(key)):
                 self._refuse_stateless(now, message, hop, "refused again")
                 return True
         records_unavailable = self.ledger.refusing(now)
-        if not self.stopping and not records_unavailable and not overload.should_refuse(now, len(self.door)):
+        if not self.stopping and not records_unavailable and not overload.should_refuse(now, len(self.module_host)):
             return False
         if message.to_tag or self.layer.key(message, message.via) in self.layer.servers:
             return False  # belongs to an accepted call, which handles it
@@ -267,7 +267,7 @@
         each retransmission gets the same response."""
         self.count[why] += 1
         request_hash = _request_hash(self.layer.key(message, message.via))
-        self.press.remember_refusal(now, request_hash)
+        self.overload_control.remember_refusal(now, request_hash)
         wait = int(self.settings.comeback.most_ms * 1000 * (1 + (request_hash >> 32) / (1 << 32)) / 2)
         extra = retry_after_fields(wait) if self.settings.comeback.told else []
         data = m.response_to(message, 503, f"{request_hash:016x}", extra=extra).encode()
@@ -297,9 +297,9 @@
                         except SipError:
                             continue
 
-    def late(self, now, delay_us):
+    def record_loop_delay(self, now, delay_us):
         """Records how late the event loop ran its timers, for overload control."""
-        self.press.late(now, delay_us)
+        self.overload_control.record_loop_delay(now, delay_us)
 
     def run(self, now, most=1 << 30):
         """Runs the timers that are due, at most `most`."""
@@ -309,7 +309,7 @@
     def due(self, now, name):
         if name == "module":
             self.module_timer = None
-            self.door.tell(io.TimerFired(0))
+            self.module_host.tell(io.TimerFired(0))
         elif name == "records":
             self.record_timer = None
         elif name == "sweep":
@@ -327,12 +327,12 @@
 
     def flush(self, now):
         """Passes the batch of events to the module and carries its actions out, until there are no new events."""
-        host = self.door
+        host = self.module_host
         while host.events:
-            snapshot = self.share.before(host.events) if self.share else ()
+            snapshot = self.fleet.before(host.events) if self.fleet else ()
             actions = host.take(now)
             if snapshot:
-                self.share.met(now, snapshot)
+                self.fleet.met(now, snapshot)
             for action in actions:
                 kind = type(action)
                 if kind is io.SetTimer:
@@ -349,10 +349,10 @@
                 else:
                     call = host.calls[action.call]
                     if kind is io.RequestLease:
-                        self.share.ask(now, action)
+                        self.fleet.ask(now, action)
                     elif kind is io.Seize:
-                        if self.share:
-                            self.share.seized(now, action)
+                        if self.fleet:
+                            self.fleet.seized(now, action)
                         self.tally.count_setup(self.wall_us(), action.server)
                         call.seize(now, action.server, action.timeout_us)
                     elif kind is io.Cancel:
@@ -463,7 +463,7 @@
         expires = invite.get("expires")
         if expires.isascii() and expires.isdigit() and len(expires) < 8:
             time_left_us = min(time_left_us, int(expires) * 1_000_000)
-        self.door.tell(
+        self.module_host.tell(
             io.Call(
                 call.index,
                 classified.call_type,
@@ -502,7 +502,7 @@
         self.count["stood"] += 1
         self.established.append((self.now, call))
 
-    def ended(self, call, how, status):
+    def call_ended(self, call, how, status):
         self.count[how] += 1
         self.log("info", "call ended", how=how, status=status, **call.describe())
 
@@ -510,11 +510,11 @@
         self.owners.pop(call.id, None)
         self.freed_indices.append(call.index)
 
-    def told(self, now, events):
+    def deliver_events(self, now, events):
         """Passes events that result from other proxies' reports to the module."""
         self.now = now
         for event in events:
-            self.door.tell(event)
+            self.module_host.tell(event)
         self.flush(now)
 
     # ---- shutdown ----
@@ -546,22 +546,22 @@
 
     def _log_setups(self, now, last=False):
         """Logs the set-ups sent to each server in a finished span; with `last`, also in the unfinished one."""
-        module = getattr(self.door.module, "module", self.door.module)
+        module = getattr(self.module_host.module, "module", self.module_host.module)
         span = self.tally.take_finished_span(self.wall_us() + last * 10_000_000, now, module)
         if span is not None:
             self.log("info", "set-ups", second=span[0], rows=span[1])
 
     def finish(self):
-        """Cancels the timers that always run. Whatever `left` counts after that is a leak."""
+        """Cancels the timers that always run. Whatever `resources_in_use` counts after that is a leak."""
         for timer in (self.module_timer, self.sweep_timer, self.record_timer):
             self.timers.cancel(timer)
         self.module_timer = self.sweep_timer = self.record_timer = None
 
-    def left(self):
+    def resources_in_use(self):
         """Counts of resources in use, for status and for the leak check at the end."""
         return {
             "calls": self.open_calls(),
-            "numbers": len(self.door),
+            "numbers": len(self.module_host),
             "dialogs": len(self.owners),
             "transactions": len(self.layer),
             "timers": len(self.timers),
--- a/thorndale/call/call.py
+++ b/thorndale/call/call.py
@@ -12,8 +12,8 @@
 
 from thorndale import interface as io
 from thorndale.call import causes
-from thorndale.call.detail import RELEASED_BY, call_record
-from thorndale.call.passing import forwarded_fields, plain_value
+from thorndale.call.call_records import RELEASED_BY, call_record
+from thorndale.call.forwarding import forwarded_fields, header_safe_text
 from thorndale.call.relay import Answer, Relay
 from thorndale.call.reports import parse_load_report
 from thorndale.call.seizure import Seizure
@@ -46,7 +46,7 @@
         "open_byes",
         "server",
         "received_at",
-        "owed",
+        "module_open",
         "answered_at",
         "call_type",
         "bye_after_ack",
@@ -73,7 +73,7 @@
         if classified.headers:
             rule_names = {name.lower() for name, _ in classified.headers}
             self.forwarded = [pair for pair in self.forwarded if pair[0].lower() not in rule_names]
-            self.forwarded += [(name, plain_value(value)) for name, value in classified.headers]
+            self.forwarded += [(name, header_safe_text(value)) for name, value in classified.headers]
         self.rule, self.rules = classified.rule, border.classifier.rules.digest
         self.call_type, self.client, self.group = classified.call_type, classified.client, classified.group
         self.caller, self.priority = classified.caller, classified.priority_class
@@ -85,10 +85,10 @@
         self.legs = [Dialog.of_request(invite, f"{token}a", tx.hop), None]
         # (leg, CSeq): the 2xx that waits for its ACK; leg: the Relay of its open re-INVITE
         self.unacked_answers, self.open_reinvites = {}, {}
-        self.index = border.door.number(self)
+        self.index = border.module_host.number(self)
         self.refusal, self.last_outcome, self.open_byes = None, -1, 0
         self.received_at, self.answered_at = border.now, 0
-        self.owed = True  # the module has not yet closed the call
+        self.module_open = True  # the module has not yet closed the call
         self.bye_after_ack = False  # a BYE to the caller is due once its ACK has arrived
 
     # ---- set-up: actions of the module ----
@@ -112,7 +112,7 @@
         extra = causes.retry_after_fields(retry_after_us)
         if self.border.chained:
             extra.append(causes.reason_field(causes.Q850_CONGESTION, True))
-        self._answer(now, 503, extra, "rejected")
+        self._answer_failure(now, 503, extra, "rejected")
 
     def fail(self, now):
         if self.last_outcome == io.BUSY and self.refusal is not None:
@@ -121,25 +121,25 @@
             extra += [("Reason", value) for value in message.all("reason")]
             if message.get("retry-after"):
                 extra.append(("Retry-After", message.get("retry-after")))
-            self._answer(now, message.status, extra, "released", message.reason)
+            self._answer_failure(now, message.status, extra, "released", message.reason)
             return
         status, cause = causes.FINAL_ANSWERS.get(self.last_outcome, causes.NO_SEIZURE_ANSWER)
-        self._answer(now, status, [causes.reason_field(cause, self.border.chained)], "released")
+        self._answer_failure(now, status, [causes.reason_field(cause, self.border.chained)], "released")
 
-    def _answer(self, now, status, extra, how, reason=""):
+    def _answer_failure(self, now, status, extra, how, reason=""):
         """Sends the final answer of a call that was not established."""
-        self.owed = False
+        self.module_open = False
         by = "server" if self.refusal is not None and how == "released" else "proxy"
         self._conclude(now, status, how, by, lambda: self.tx.respond(now, status, f"{self.id}a", reason, extra))
 
     def _conclude(self, now, status, how, by, answer):
         """Writes the record of the call, then sends the answer."""
         self.state = "answering"
-        self.border.ended(self, how, status)
+        self.border.call_ended(self, how, status)
 
         def then(_):
             answer()
-            self._over()
+            self._close()
 
         self.border.ledger.refused(now, self._record(now, how, by, status), then)
 
@@ -150,7 +150,7 @@
         elapsed = seizure.elapsed(now) if seizure.sent_at else 0
         number, server = seizure.number, seizure.server
         self.seizure_results.append((server, outcome, seizure.sent_at, elapsed))
-        self.border.door.tell(
+        self.border.module_host.tell(
             io.SeizureEnded(self.index, number, server, outcome, wait_us, elapsed, final, report, beyond)
         )
 
@@ -160,9 +160,9 @@
         """Handles a provisional response. A 100 is not forwarded to the caller."""
         report = parse_load_report(message, self.border.load_header, self.border.instances)
         if report is not None:
-            self.border.door.tell(io.ServerReport(seizure.server, report, False))
+            self.border.module_host.tell(io.ServerReport(seizure.server, report, False))
         if message.status == FORWARDED and self.border.chained and seizure.state == "pending":
-            self.border.door.tell(io.Forwarded(self.index, seizure.number, seizure.server, seizure.elapsed(now)))
+            self.border.module_host.tell(io.Forwarded(self.index, seizure.number, seizure.server, seizure.elapsed(now)))
         if message.status > 100 and self.state == "setting up":
             extra = forwarded_fields(message, self.border.load_header)
             extra.append(("Contact", self.border.contact(self.tx.hop)))
@@ -173,8 +173,8 @@
         border = self.border
         report = parse_load_report(message, border.load_header, border.instances)
         if report is not None:
-            border.door.tell(io.ServerReport(seizure.server, report, False))
-        border.door.tell(io.Answered(self.index, seizure.number, seizure.server, seizure.elapsed(now)))
+            border.module_host.tell(io.ServerReport(seizure.server, report, False))
+        border.module_host.tell(io.Answered(self.index, seizure.number, seizure.server, seizure.elapsed(now)))
         self.state, self.answered_at = "established", now
         invite = self.tx.message
         self.legs[SERVER] = dialog
@@ -227,8 +227,8 @@
         caller's connection (0: no answer can be sent)."""
         if self.state != "setting up":
             return
-        self.owed = False
-        self.border.door.tell(io.CallerAbandoned(self.index))
+        self.module_open = False
+        self.border.module_host.tell(io.CallerAbandoned(self.index))
         if self.seizure is not None and self.seizure.state == "pending":
             self.seizure.abandon(now)
             self._report_seizure_end(now, io.CANCELLED, True)
@@ -331,7 +331,7 @@
                 answer.stop()
                 del self.unacked_answers[key]
         how = how if outcome == io.COMPLETED else "cut"
-        self.border.ended(self, how, 0)
+        self.border.call_ended(self, how, 0)
         self.border.ledger.ended(now, self._record(now, how, RELEASED_BY[by], 200))
         for side in (CALLER, SERVER):
             if side != by:
@@ -342,9 +342,9 @@
         self._finish_release()
 
     def _report_call_end(self, now, outcome):
-        self.owed = False
+        self.module_open = False
         elapsed = now - self.answered_at
-        self.border.door.tell(
+        self.border.module_host.tell(
             io.SeizureEnded(self.index, self.seizure_count - 1, self.server, outcome, 0, elapsed, True, None)
         )
 
@@ -372,13 +372,13 @@
 
     def _finish_release(self):
         if self.state == "releasing" and not self.open_byes and not self.bye_after_ack and not self.answer_pending:
-            self._over()
+            self._close()
 
     def server_connection_lost(self, now):
         """Ends the call as cut, since the connection to its server is lost."""
         self.end(now, SERVER, "cut")
 
-    def _over(self):
+    def _close(self):
         self.state = "over"
         for answer in self.unacked_answers.values():
             answer.stop()
--- a/thorndale/call/door.py
+++ b/thorndale/call/decision.py
@@ -9,7 +9,7 @@
 from thorndale.sites.topology import expand_settings
 
 
-def decider(seed, settings):
+def build_module(seed, settings):
     """The decision module of this proxy, behind the site router if the settings define sites."""
     base = module_settings(settings)
     if not settings.sites:
--- a/thorndale/call/passing.py
+++ b/thorndale/call/forwarding.py
@@ -60,6 +60,6 @@
     return int(text) - 1 if text.isdigit() else 69
 
 
-def plain_value(text):
+def header_safe_text(text):
     """A text computed by a rule, made safe for a header field: line ends and control characters become spaces."""
     return "".join(c if c >= " " else " " for c in text).strip()
--- a/thorndale/call/press.py
+++ b/thorndale/call/overload.py
@@ -40,7 +40,7 @@
         self.recent_keys, self.previous_keys, self.rotated_at = set(), set(), 0
         self.loop_delay_us, self.loop_delay_at, self.refusing, self.refused = 0, 0, False, 0
 
-    def late(self, now, delay_us):
+    def record_loop_delay(self, now, delay_us):
         """Records how late the event loop ran something that was due. The largest delay counts until it is
         LOOP_DELAY_VALID_US old."""
         if delay_us >= self.loop_delay_us or now - self.loop_delay_at > LOOP_DELAY_VALID_US:
--- a/thorndale/call/relay.py
+++ b/thorndale/call/relay.py
@@ -1,6 +1,6 @@
 """Relays requests inside an established call from one leg to the other, and retransmits 2xx answers until their ACK."""
 
-from thorndale.call.passing import forwarded_fields
+from thorndale.call.forwarding import forwarded_fields
 from thorndale.sip.dialog import via_text
 
 
--- a/thorndale/cli/main.py
+++ b/thorndale/cli/main.py
@@ -131,7 +131,7 @@
     lose: list[str] = typer.Option([], help="A site or server that is lost; may come again. Each site, if left out."),
 ):
     """What to let spill where when a site or server is lost; the output is JSON5 for the settings."""
-    from thorndale.call.door import site_settings
+    from thorndale.call.decision import site_settings
     from thorndale.cli.plan import losses, show
     from thorndale.config.plans import read_plan
     from thorndale.sites.topology import SitesError
--- a/thorndale/daemon/fleet.py
+++ b/thorndale/daemon/fleet.py
@@ -47,9 +47,12 @@
             fleet.rights,
             fleet.words,
         )
-        self.members, self.module = self.share.members, getattr(border.door.module, "module", border.door.module)
+        self.members, self.module = (
+            self.share.members,
+            getattr(border.module_host.module, "module", border.module_host.module),
+        )
         self.telling = False
-        border.share = self
+        border.fleet = self
         self._arm()
 
     # ---- what the border does ----
@@ -125,7 +128,7 @@
     def _told(self):
         self.telling = False
         if not self.closed:
-            self.border.told(now_us(), self.share.events())
+            self.border.deliver_events(now_us(), self.share.events())
             self.arm_border()
             self._arm()
 
--- a/thorndale/daemon/keep.py
+++ b/thorndale/daemon/keep.py
@@ -3,7 +3,7 @@
 import asyncio
 import os
 
-from thorndale.call.book import unseal
+from thorndale.call.book import decode_copy
 from thorndale.sip.errors import SipError
 
 
@@ -32,7 +32,7 @@
         return None
     try:
         with open(path, "rb") as file:
-            return unseal(file.read())
+            return decode_copy(file.read())
     except (OSError, SipError) as fault:
         say("error", "pool book's copy refused", file=path, reason=str(fault))
         return None
--- a/thorndale/daemon/run.py
+++ b/thorndale/daemon/run.py
@@ -109,7 +109,7 @@
         if talk is not None:
             talk.close()
         border.finish()
-        left = border.left()
+        left = border.resources_in_use()
         await ends.close()
         await keeper.close()
         signals.block()
@@ -121,10 +121,10 @@
             tasks=tasks,
             descriptors=descriptors() - before,
             counts=dict(border.count),
-            book=border.book.told if border.book else {},
+            book=border.book.counts if border.book else {},
             tcp=ends.tcp.count,
             dropped=sum(u.dropped for u in ends.udp),
-            refused_early=border.press.refused,
+            refused_early=border.overload_control.refused,
             records=border.ledger.counts(),
         )
         close_log()
@@ -170,13 +170,13 @@
     gc.disable()
     collected = now_us()
     while True:
-        if now_us() - collected > COLLECT_US and not len(border.door):
+        if now_us() - collected > COLLECT_US and not len(border.module_host):
             gc.collect()
             collected = now_us()
         before = now_us()
         await asyncio.sleep(HEART_S)
         now = now_us()
-        border.late(now, max(0, now - before - int(HEART_S * 1e6)))
+        border.record_loop_delay(now, max(0, now - before - int(HEART_S * 1e6)))
 
 
 async def _reload(again, settings, path, border, say):
@@ -195,7 +195,7 @@
                 count=len(fault.faults),
             )
             continue
-        border.use(rules)
+        border.use_rules(rules)
         say("info", "rules in force", rules=len(rules.rules), file=rules.name)
 
 
--- a/thorndale/net/ends.py
+++ b/thorndale/net/ends.py
@@ -77,7 +77,7 @@
     def _due(self, late):
         now = now_us()
         if late > READ_FIRST_US:
-            self.core.late(now, late)
+            self.core.record_loop_delay(now, late)
             for udp in self.udp:
                 udp.read(1024)
         try:
--- a/thorndale/standins/agent.py
+++ b/thorndale/standins/agent.py
@@ -52,7 +52,7 @@
     def lost(self, now, hop, kind):
         self.layer.lost(now, hop, kind)
 
-    def late(self, now, us):
+    def record_loop_delay(self, now, us):
         pass
 
     def run(self, now, most=1 << 30):
