--- a/tests/net/test_ends_of_streams.py
+++ b/tests/net/test_ends_of_streams.py
@@ -1,5 +1,5 @@
-"""How stream connections end: what lies in a socket when one side closes it. Each crossing is made by order: what the
-peer does, it does between two turns of the loop."""
+"""How stream connections end, with data in the socket when one side closes it. Each race is forced: the peer acts
+between two iterations of the event loop."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class Ordered(Core):
-    """Notes the order of what it is told. `answer`: what is done for each message."""
+    """Records the order of the calls made to it. `answer` is called for each message."""
 
     def __init__(self):
         super().__init__()
@@ -34,9 +34,9 @@
 
 
 def ordered(test):
-    async def run(ends, core, number):
+    async def run(ends, core, port):
         ends.core = core = Ordered()
-        await test(ends, core, number)
+        await test(ends, core, port)
 
     on_loop(run)
 
@@ -46,13 +46,13 @@
     peer.close()
 
 
-async def admitted(ends, core, number):
+async def admitted(ends, core, port):
     """A peer whose first message was read, and its hop."""
-    peer = socket.create_connection(("127.0.0.1", number))
+    peer = socket.create_connection(("127.0.0.1", port))
     peer.sendall(MESSAGE)
-    await until(lambda: core.seen)
+    await until(lambda: core.messages)
     peer.setblocking(False)
-    return peer, core.seen[-1][1]
+    return peer, core.messages[-1][1]
 
 
 async def received(peer, size=65536):
@@ -62,8 +62,8 @@
 @pytest.mark.parametrize("messages", [1, 3])
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
 def test_a_peer_that_closed_has_gone_before_what_it_sent_is_acted_on(messages, end):
-    async def test(ends, core, number):
-        peer, _ = await admitted(ends, core, number)
+    async def test(ends, core, port):
+        peer, _ = await admitted(ends, core, port)
         core.order.clear()
         peer.sendall(MESSAGE * messages)
         end(peer)
@@ -74,8 +74,8 @@
 
 
 def test_a_peer_that_closed_before_it_was_accepted_has_gone_too():
-    async def test(ends, core, number):
-        with socket.create_connection(("127.0.0.1", number)) as peer:
+    async def test(ends, core, port):
+        with socket.create_connection(("127.0.0.1", port)) as peer:
             peer.sendall(MESSAGE)
         await until(lambda: core.failed)
         assert core.order[:3] == ["message", "lost", "acted"]
@@ -84,9 +84,9 @@
 
 
 def test_a_finished_connection_with_bytes_unread_ends_in_order_and_is_not_reset():
-    async def test(ends, core, number):
-        peer, hop = await admitted(ends, core, number)
-        seen, connection = len(core.seen), ends.tcp.by_hop[hop]
+    async def test(ends, core, port):
+        peer, hop = await admitted(ends, core, port)
+        count_before, connection = len(core.messages), ends.tcp.by_hop[hop]
         assert ends.tcp.send(hop, b"answer")
         peer.sendall(MESSAGE)
         ends.tcp.finish(hop)
@@ -96,18 +96,18 @@
         assert await received(peer) == b""
         peer.sendall(MESSAGE)
         await asyncio.sleep(0.05)
-        assert len(core.seen) == seen, "what comes then is thrown away"
+        assert len(core.messages) == count_before, "later input is discarded"
         peer.close()
         await until(lambda: not ends.tcp.tasks, LINGER_S / 2)
-        assert not core.failed, "whoever finished it is not told"
+        assert not core.failed, "its end is not reported to the side that finished it"
 
     ordered(test)
 
 
 @pytest.mark.parametrize("reads", [True, False])
 def test_a_finished_connection_whose_peer_does_not_close_ends_by_itself(reads):
-    async def test(ends, core, number):
-        peer, hop = await admitted(ends, core, number)
+    async def test(ends, core, port):
+        peer, hop = await admitted(ends, core, port)
         ends.tcp.send(hop, b"x" if reads else b"x" * 120_000)
         ends.tcp.finish(hop)
         await until(lambda: not ends.tcp.tasks, LINGER_S + 1)
@@ -117,8 +117,8 @@
 
 
 def test_a_peer_that_goes_on_sending_to_a_finished_connection_is_not_read_for_long():
-    async def test(ends, core, number):
-        peer, hop = await admitted(ends, core, number)
+    async def test(ends, core, port):
+        peer, hop = await admitted(ends, core, port)
         connection = ends.tcp.by_hop[hop]
         ends.tcp.finish(hop)
         loop, sent = asyncio.get_running_loop(), 0
@@ -127,32 +127,32 @@
                 await loop.sock_sendall(peer, b"x" * 65_536)
                 sent += 65_536
         await until(lambda: not ends.tcp.tasks, LINGER_S / 2)
-        assert connection.thrown < 1_000_000 and len(core.seen) == 1
+        assert connection.discarded_bytes < 1_000_000 and len(core.messages) == 1
         peer.close()
 
     ordered(test)
 
 
 def test_what_a_peer_sent_before_it_reset_is_read_though_nothing_can_be_sent():
-    async def test(ends, core, number):
-        peer, hop = await admitted(ends, core, number)
+    async def test(ends, core, port):
+        peer, hop = await admitted(ends, core, port)
         core.answer = lambda hop: ends.tcp.send(hop, b"answer")
         peer.sendall(MESSAGE * 20)
         reset(peer)
         await until(lambda: core.failed)
-        assert len(core.seen) == 21 and core.failed == [(hop, "lost")]
+        assert len(core.messages) == 21 and core.failed == [(hop, "lost")]
 
     ordered(test)
 
 
 def test_a_connection_is_quiet_only_with_nothing_unread_and_nothing_waiting():
-    async def test(ends, core, number):
-        peer, hop = await admitted(ends, core, number)
+    async def test(ends, core, port):
+        peer, hop = await admitted(ends, core, port)
         assert ends.tcp.is_quiet(hop) and ends.tcp.is_at_rest()
         peer.sendall(MESSAGE[:3])
         assert not ends.tcp.is_quiet(hop) and not ends.tcp.is_at_rest()
         await until(lambda: ends.tcp.is_quiet(hop))
-        ends.tcp.send(hop, b"x" * 200_000 + b"y" * 20_000)  # more than the kernel takes of a peer that does not read
+        ends.tcp.send(hop, b"x" * 200_000 + b"y" * 20_000)  # more than the kernel buffers for a peer that does not read
         while ends.tcp.is_quiet(hop):
             ends.tcp.send(hop, b"x" * 60_000)
         peer.close()
@@ -162,23 +162,23 @@
     ordered(test)
 
 
-def test_who_waits_to_be_accepted_keeps_the_rest_from_being_had():
-    async def test(ends, core, number):
+def test_not_at_rest_while_a_connection_waits_to_be_accepted():
+    async def test(ends, core, port):
         assert ends.tcp.is_at_rest()
-        with socket.create_connection(("127.0.0.1", number)) as peer:
+        with socket.create_connection(("127.0.0.1", port)) as peer:
             assert not ends.tcp.is_at_rest()
             peer.sendall(MESSAGE)
-            await until(lambda: core.seen)
+            await until(lambda: core.messages)
 
     ordered(test)
 
 
 def test_all_are_finished_within_the_time_and_nobody_is_accepted_any_more():
-    async def test(ends, core, number):
-        first, hop = await admitted(ends, core, number)
-        second = socket.create_connection(("127.0.0.1", number))
+    async def test(ends, core, port):
+        first, hop = await admitted(ends, core, port)
+        second = socket.create_connection(("127.0.0.1", port))
         second.sendall(MESSAGE)
-        await until(lambda: len(core.seen) == 2)
+        await until(lambda: len(core.messages) == 2)
         ends.tcp.send(hop, b"answer")
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -186,7 +186,7 @@
         assert loop.time() - began < LINGER_S + 0.5
         assert await received(first) == b"answer" and await received(first) == b""
         with pytest.raises(ConnectionRefusedError):
-            socket.create_connection(("127.0.0.1", number))
+            socket.create_connection(("127.0.0.1", port))
         first.close()
         second.close()
 
@@ -194,13 +194,13 @@
 
 
 def test_one_more_connection_takes_the_place_of_one_that_is_ending():
-    async def run(ends, core, number):
+    async def run(ends, core, port):
         ends.core = core = Ordered()
-        peer, hop = await admitted(ends, core, number)
+        peer, hop = await admitted(ends, core, port)
         ends.tcp.finish(hop)
-        other = socket.create_connection(("127.0.0.1", number))
+        other = socket.create_connection(("127.0.0.1", port))
         other.sendall(MESSAGE)
-        await until(lambda: len(core.seen) == 2)
+        await until(lambda: len(core.messages) == 2)
         assert ends.tcp.count["given up for room"] == 1 and ends.tcp.count["over the bound"] == 0
         peer.close()
         other.close()
@@ -209,8 +209,8 @@
 
 
 def test_each_byte_comes_in_order_through_a_peer_that_reads_in_bursts():
-    async def test(ends, core, number):
-        peer, hop = await admitted(ends, core, number)
+    async def test(ends, core, port):
+        peer, hop = await admitted(ends, core, port)
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sent, got = b"", b""
         for n in range(400):
@@ -228,24 +228,24 @@
     ordered(test)
 
 
-# Guards against bytes that were read and never handed on: the ninth read of one turn was thrown away.
+# The ninth read of one loop iteration was discarded, so that its bytes were never delivered.
 @pytest.mark.parametrize("read", [64, 700, 4096])
 def test_every_message_of_a_burst_is_handed_on_however_many_reads_it_takes(read):
-    async def test(ends, core, number):
-        ends.tcp.stream = ends.tcp.stream._replace(read=read)
-        peer, _ = await admitted(ends, core, number)
-        seen = len(core.seen)
+    async def test(ends, core, port):
+        ends.tcp.stream = ends.tcp.stream._replace(read_bytes=read)
+        peer, _ = await admitted(ends, core, port)
+        count_before = len(core.messages)
         peer.setblocking(True)
         peer.sendall(MESSAGE * 200)
-        await until(lambda: len(core.seen) == seen + 200)
+        await until(lambda: len(core.messages) == count_before + 200)
         assert not core.failed
         peer.close()
 
     ordered(test)
 
 
-def sees_end(peer):
-    """Whether the end of its connection has come to a peer."""
+def end_has_arrived(peer):
+    """Whether a peer has received the end of its connection."""
     try:
         return peer.recv(1, socket.MSG_PEEK) == b""
     except BlockingIOError:
@@ -254,14 +254,14 @@
         return True
 
 
-# Guards against a message that its peer still sends on a connection which was taken for lost and replaced already.
+# Otherwise the peer still sends a message on a connection that has already been reported lost and replaced.
 def test_the_end_of_a_stream_that_cannot_be_read_has_reached_its_peer_before_it_is_told():
-    async def test(ends, core, number):
-        peer, _ = await admitted(ends, core, number)
-        seen = []
-        core.lost = lambda now, hop, kind: seen.append(sees_end(peer))
+    async def test(ends, core, port):
+        peer, _ = await admitted(ends, core, port)
+        end_reached_peer = []
+        core.lost = lambda now, hop, kind: end_reached_peer.append(end_has_arrived(peer))
         peer.sendall(b"OPTIONS sip:x SIP/2.0\r\nContent-Length: 99999999\r\n\r\n")
-        await until(lambda: seen)
-        assert seen == [True]
+        await until(lambda: end_reached_peer)
+        assert end_reached_peer == [True]
 
     ordered(test)
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -1,4 +1,4 @@
-"""Sockets on loopback: framing over segments, half-open and slow peers, unreachable ports, IPv4 and IPv6."""
+"""Sockets on loopback: framing across segments, half-open and slow peers, unreachable ports, IPv4 and IPv6."""
 
 import asyncio
 import gc
@@ -20,19 +20,19 @@
 
 
 class Core:
-    """Notes what it is told."""
+    """Records the calls made to it."""
 
     def __init__(self):
-        self.seen, self.failed, self.batches, self.lags, self.timers = [], [], 0, [], Timers()
+        self.messages, self.failed, self.batches, self.late_us, self.timers = [], [], 0, [], Timers()
 
     def receive(self, now, data, hop, stream=False):
-        self.seen.append((data, hop))
+        self.messages.append((data, hop))
 
     def lost(self, now, hop, kind):
         self.failed.append((hop, kind))
 
     def record_loop_delay(self, now, us):
-        self.lags.append(us)
+        self.late_us.append(us)
 
     def run(self, now, most=1 << 30):
         self.timers.run(now, most)
@@ -42,14 +42,14 @@
 
 
 def on_loop(test, host="127.0.0.1", **limits):
-    """Runs `test(ends, core, port)` on uvloop with a UDP and a TCP listener; nothing may be left of it."""
+    """Runs `test(ends, core, port)` on uvloop with a UDP and a TCP listener; no task may be left over."""
 
     async def main():
-        loop, core, number = asyncio.get_running_loop(), Core(), reserve_port(host)
+        loop, core, port = asyncio.get_running_loop(), Core(), reserve_port(host)
         ends = Ends(loop, msgspec.structs.replace(Limits(), **limits), core)
-        ends.open([("udp", host, number), ("tcp", host, number)])
+        ends.open([("udp", host, port), ("tcp", host, port)])
         try:
-            await test(ends, core, number)
+            await test(ends, core, port)
         finally:
             await ends.close()
         assert len(asyncio.all_tasks()) == 1
@@ -58,58 +58,58 @@
         runner.run(main())
 
 
-async def until(told, seconds=5):
+async def until(condition, seconds=5):
     end = asyncio.get_running_loop().time() + seconds
-    while not told():
-        assert asyncio.get_running_loop().time() < end, "it did not come to pass"
+    while not condition():
+        assert asyncio.get_running_loop().time() < end, "the condition was not met in time"
         await asyncio.sleep(0.005)
 
 
 @pytest.mark.parametrize("host", ["127.0.0.1", "::1"])
 def test_both_transports_and_families(host):
-    async def test(ends, core, number):
+    async def test(ends, core, port):
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         with socket.socket(family, socket.SOCK_DGRAM) as peer:
-            peer.sendto(MESSAGE, (host, number))
-            await until(lambda: core.seen)
-            data, hop = core.seen[0]
+            peer.sendto(MESSAGE, (host, port))
+            await until(lambda: core.messages)
+            data, hop = core.messages[0]
             assert data == MESSAGE and hop[:2] == ("udp", host)
             ends.send(hop, b"back")
             await asyncio.sleep(0.05)
             assert peer.recv(100) == b"back"
-        ends.send(Hop("tcp", host, number, 0), MESSAGE)  # to itself: opened from here
-        await until(lambda: len(core.seen) == 2)
-        ends.send(core.seen[1][1], MESSAGE)  # back by the connection that it came by
-        await until(lambda: len(core.seen) == 3)
-        assert core.seen[2][1] == Hop("tcp", host, number, 0) and core.batches
+        ends.send(Hop("tcp", host, port, 0), MESSAGE)  # to its own listener, by a connection opened from here
+        await until(lambda: len(core.messages) == 2)
+        ends.send(core.messages[1][1], MESSAGE)  # back by the connection it was received on
+        await until(lambda: len(core.messages) == 3)
+        assert core.messages[2][1] == Hop("tcp", host, port, 0) and core.batches
 
     on_loop(test, host)
 
 
 def test_segments_keepalives_and_an_end_in_the_middle():
-    async def test(ends, core, number):
-        reader, writer = await asyncio.open_connection("127.0.0.1", number)
+    async def test(ends, core, port):
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(MESSAGE + MESSAGE)
-        await until(lambda: len(core.seen) == 2)
+        await until(lambda: len(core.messages) == 2)
         for n in range(0, len(MESSAGE), 2):
             writer.write(MESSAGE[n : n + 2])
             await asyncio.sleep(0.001)
         writer.write(b"\r\n\r\n")
-        await until(lambda: len(core.seen) == 3)
+        await until(lambda: len(core.messages) == 3)
         assert await reader.readexactly(2) == b"\r\n"
         writer.write(MESSAGE[:10])
         await writer.drain()
         writer.close()
         await until(lambda: core.failed)
-        assert core.failed == [(core.seen[0][1], "lost")] and len(core.seen) == 3
+        assert core.failed == [(core.messages[0][1], "lost")] and len(core.messages) == 3
         await until(lambda: not ends.tcp.tasks)
 
     on_loop(test)
 
 
 def test_a_stream_that_cannot_be_framed_is_closed():
-    async def test(ends, core, number):
-        reader, writer = await asyncio.open_connection("127.0.0.1", number)
+    async def test(ends, core, port):
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"OPTIONS sip:x SIP/2.0\r\nContent-Length: 99999999\r\n\r\n")
         assert await asyncio.wait_for(reader.read(), 5) == b""
         writer.close()
@@ -119,8 +119,8 @@
 
 
 def test_a_half_open_peer_is_cut():
-    async def test(ends, core, number):
-        reader, writer = await asyncio.open_connection("127.0.0.1", number)
+    async def test(ends, core, port):
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(MESSAGE[:12])
         assert await asyncio.wait_for(reader.read(), 5) == b""
         writer.close()
@@ -130,22 +130,22 @@
 
 
 def test_a_peer_that_does_not_read_is_held_back_and_then_cut():
-    async def test(ends, core, number):
-        peer = socket.create_connection(("127.0.0.1", number))
+    async def test(ends, core, port):
+        peer = socket.create_connection(("127.0.0.1", port))
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         peer.send(MESSAGE)
-        await until(lambda: core.seen)
-        hop = core.seen[0][1]
+        await until(lambda: core.messages)
+        hop = core.messages[0][1]
         connection = ends.tcp.by_hop[hop]
         while connection.unsent <= 100_000 and not connection.closed:
             ends.send(hop, b"x" * 20_000)
             await asyncio.sleep(0)
         assert not connection.drained.is_set()  # nothing more is read from it
         await asyncio.sleep(0.02)
-        read = len(core.seen)
+        read = len(core.messages)
         peer.send(MESSAGE)
         await asyncio.sleep(0.05)
-        assert len(core.seen) <= read + 1
+        assert len(core.messages) <= read + 1
         while hop in ends.tcp.by_hop:
             ends.send(hop, b"x" * 20_000)
             await asyncio.sleep(0)
@@ -156,7 +156,7 @@
 
 
 def test_refused_and_silent_addresses():
-    async def test(ends, core, number):
+    async def test(ends, core, port):
         closed = reserve_port()
         ends.send(Hop("tcp", "127.0.0.1", closed, 0), MESSAGE)
         ends.send(Hop("udp", "127.0.0.1", closed, 0), MESSAGE)
@@ -165,18 +165,18 @@
             ("tcp", closed, "refused"),
             ("udp", closed, "refused"),
         }
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:  # the socket still reads after the error
-            peer.sendto(MESSAGE, ("127.0.0.1", number))
-            await until(lambda: core.seen)
-        ends.send(Hop("tcp", "127.0.0.1", 1, 77), MESSAGE)  # a connection that is gone
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:  # the socket is still read after the error
+            peer.sendto(MESSAGE, ("127.0.0.1", port))
+            await until(lambda: core.messages)
+        ends.send(Hop("tcp", "127.0.0.1", 1, 77), MESSAGE)  # a connection that does not exist
         await until(lambda: len(core.failed) == 3)
 
     on_loop(test)
 
 
 def test_the_bound_on_connections():
-    async def test(ends, core, number):
-        peers = [await asyncio.open_connection("127.0.0.1", number) for _ in range(4)]
+    async def test(ends, core, port):
+        peers = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
         await until(lambda: ends.tcp.count["over the bound"] == 2)
         assert len(ends.tcp.by_hop) == 2
         for _, writer in peers:
@@ -186,20 +186,20 @@
 
 
 def test_a_late_timer_reads_the_sockets_first():
-    async def test(ends, core, number):
+    async def test(ends, core, port):
         order = []
 
         class Owner:
             def due(self, now, name):
-                order.append(len(core.seen))
+                order.append(len(core.messages))
 
         core.timers.set(now_us() + 20_000, Owner(), "x")
         ends.arm()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
-            peer.sendto(MESSAGE, ("127.0.0.1", number))
+            peer.sendto(MESSAGE, ("127.0.0.1", port))
             import time
 
-            time.sleep(0.15)  # the whole process stands still
+            time.sleep(0.15)  # stalls the whole process
         await until(lambda: order)
         assert order == [1]
 
@@ -207,20 +207,20 @@
 
 
 def test_a_port_in_use_is_named():
-    async def test(ends, core, number):
+    async def test(ends, core, port):
         other = Ends(asyncio.get_running_loop(), Limits(), Core())
         with pytest.raises(OSError) as caught:
-            other.open([("tcp", "127.0.0.1", number)])
-        assert caught.value.filename == f"tcp:127.0.0.1:{number}"
+            other.open([("tcp", "127.0.0.1", port)])
+        assert caught.value.filename == f"tcp:127.0.0.1:{port}"
         await other.close()
 
     on_loop(test)
 
 
 @pytest.mark.parametrize(("host", "kind"), [("localhost", "unreached"), ("127.0.0.1", "refused")])
-def test_a_name_is_never_looked_up_and_a_refused_connection_is_told_as_such(host, kind):
-    async def test(ends, core, number):
-        ends.tcp.stream = ends.tcp.stream._replace(unreached="unreached")
+def test_a_name_is_never_resolved_and_a_refused_connection_is_reported_as_such(host, kind):
+    async def test(ends, core, port):
+        ends.tcp.stream = ends.tcp.stream._replace(unreached_kind="unreached")
         hop = ends.tcp.connect(host, reserve_port())
         await until(lambda: core.failed)
         assert core.failed == [(hop, kind)] and not ends.tcp.by_hop
@@ -229,20 +229,21 @@
 
 
 def test_connections_that_end_by_an_error_leave_nothing_for_the_collector():
-    """Else each that was reset or refused keeps its buffers until the collector comes, and memory grows for hours."""
+    """Left in a reference cycle, each reset or refused connection would keep its buffers until a garbage collection, and
+    memory would grow for hours."""
 
-    async def test(ends, core, number):
+    async def test(ends, core, port):
         closed = reserve_port()
         gc.collect()
         gc.disable()
         try:
             for n in range(20):
-                with socket.create_connection(("127.0.0.1", number)) as peer:  # reset by the peer
+                with socket.create_connection(("127.0.0.1", port)) as peer:  # reset by the peer
                     peer.sendall(MESSAGE[:5])
                     await asyncio.sleep(0.01)
                     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 ends.tcp.connect("127.0.0.1", closed)  # refused
-                with socket.create_connection(("127.0.0.1", number)) as peer:  # unreadable
+                with socket.create_connection(("127.0.0.1", port)) as peer:  # unreadable
                     peer.sendall(b"OPTIONS sip:x SIP/2.0\r\nContent-Length: 99999999\r\n\r\n")
                     await until(lambda n=n: len(core.failed) >= 3 * n + 3)
             await until(lambda: not ends.tcp.tasks)
@@ -254,27 +255,29 @@
 
 
 def test_a_connection_that_never_comes_up_ends_after_its_time_and_leaves_nothing():
-    async def test(ends, core, number):
-        ends.tcp.stream = ends.tcp.stream._replace(unreached="unreached")
-        with socket.socket() as deaf:  # its queue is full, so that no answer comes to a further one
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(0)
-            full = [socket.socket() for _ in range(4)]
-            for peer in full:
+    async def test(ends, core, port):
+        ends.tcp.stream = ends.tcp.stream._replace(unreached_kind="unreached")
+        with (
+            socket.socket() as full_listener
+        ):  # its accept queue is queue_fillers, so that a further connection gets no answer
+            full_listener.bind(("127.0.0.1", 0))
+            full_listener.listen(0)
+            queue_fillers = [socket.socket() for _ in range(4)]
+            for peer in queue_fillers:
                 peer.setblocking(False)
-                peer.connect_ex(deaf.getsockname())
+                peer.connect_ex(full_listener.getsockname())
             gc.collect()
             gc.disable()
             try:
                 began = asyncio.get_running_loop().time()
-                hops = [ends.tcp.connect(*deaf.getsockname()) for _ in range(5)]
+                hops = [ends.tcp.connect(*full_listener.getsockname()) for _ in range(5)]
                 await until(lambda: len(core.failed) == 5)
-                took = asyncio.get_running_loop().time() - began
-                assert sorted(core.failed) == sorted((hop, "unreached") for hop in hops) and 0.2 <= took < 2
+                elapsed_s = asyncio.get_running_loop().time() - began
+                assert sorted(core.failed) == sorted((hop, "unreached") for hop in hops) and 0.2 <= elapsed_s < 2
                 assert gc.collect() < 5
             finally:
                 gc.enable()
-                for peer in full:
+                for peer in queue_fillers:
                     peer.close()
 
     on_loop(test, connect_ms=200)
--- a/tests/node/test_many.py
+++ b/tests/node/test_many.py
@@ -1,5 +1,5 @@
-"""Many border proxies as processes against one set of central servers, with faults on the links between them: what no
-one of them can keep alone is judged in the sum, at the servers' and the callers' sockets."""
+"""Many border proxy processes against one set of central servers, with faults on the links between them. Limits that no
+proxy can keep alone are checked in sum, at the servers' and the callers' sockets."""
 
 import asyncio
 import contextlib
@@ -20,43 +20,43 @@
 from thorndale.standins.relay import Relay
 
 PROXIES = 20
-HOLD_S, TAKES = 2.0, 40  # s of a call; set-ups a second that the first server takes
-MANY = SETTINGS | {
+HOLD_S, SERVER_RATE = 2.0, 40  # duration of a call; set-ups per second that the first server accepts
+FLEET_SETTINGS = SETTINGS | {
     "nInstances": PROXIES,
     "familyInfo": SETTINGS["familyInfo"] | {"classHoldMs": [HOLD_S * 1000]},
 }
 RULES = SETTINGS["rules"]
 
 
-class Told(CentralServer):
-    """A central server that tells its lines on every open connection, and keeps when each set-up came."""
+class ReportingServer(CentralServer):
+    """A central server that reports its free lines on every open connection and records when each set-up arrived."""
 
     LINES = 1000
 
     def __init__(self, name):
         super().__init__(name, answer_s=0.005, hold_s=HOLD_S)
-        self.came_at, self.orphans = [], []
+        self.arrived_at, self.repeated_releases = [], []
 
     def end(self, call, cause):
-        """A release whose connection is gone, or goes as it is sent, is repeated on all: which one is of the same
-        proxy is not told here."""
+        """A release whose connection is gone, or ends as it is sent, is repeated on all connections, as the server does not
+        know which of them belongs to the same proxy."""
         writer = self.standing.get(call)
         if writer in self.open:
             super().end(call, cause)
-            self.later(0.3, self._repeat, call, cause, writer)
+            self.later(0.3, self._repeat_release, call, cause, writer)
         elif self.standing.pop(call, None) is not None:
-            self._repeat(call, cause, writer)
+            self._repeat_release(call, cause, writer)
 
-    def _repeat(self, call, cause, writer):
+    def _repeat_release(self, call, cause, writer):
         if writer not in self.open:
-            self.orphans.append(
+            self.repeated_releases.append(
                 f"BYE sip:peer@net SIP/2.0\r\nCall-ID: {call}\r\nCSeq: 9 BYE\r\nReason: Q.850;cause="
                 f"{cause}\r\nContent-Length: 0\r\n\r\n".encode()
             )
 
     def _take(self, m, writer):
         if m.method == "INVITE":
-            self.came_at.append(time.monotonic())
+            self.arrived_at.append(time.monotonic())
         super()._take(m, writer)
 
     def _state(self, writer):
@@ -66,23 +66,23 @@
             f"Content-Length: 0\r\n\r\n".encode()
         )
 
-    async def tell(self):
+    async def report_state(self):
         while True:
             await asyncio.sleep(0.5)
             for writer in list(self.open):
                 self._state(writer)
-                writer.write(b"".join(self.orphans))
+                writer.write(b"".join(self.repeated_releases))
 
 
-class Beyond:
-    """A server or feed as a proxy reaches it: by the relay."""
+class RelayedPeer:
+    """The address of a server or feed as a proxy reaches it: at the relay."""
 
     def __init__(self, name, port):
         self.name, self.host, self.port = name, "127.0.0.1", port
 
 
 class Proxy:
-    """A border proxy as a process, its links by the relay. `server(name, party)`: where it reaches a server."""
+    """A border proxy process whose links go through the relay. `server(party)`: the address at which it reaches a server."""
 
     def __init__(self, folder, number, relay):
         self.folder, self.number, self.relay, self.port = folder, number, relay, reserve_port()
@@ -92,7 +92,7 @@
     async def server(self, party):
         port = reserve_port()
         await self.relay.open(self.name, party.name, "tcp", port, (party.host, party.port))
-        return Beyond(party.name, port)
+        return RelayedPeer(party.name, port)
 
     def start(self, config=None):
         if config is not None:
@@ -101,7 +101,7 @@
         self.process = subprocess.Popen([sys.executable, "-m", "thorndale.node"], env=environ, stderr=self.log)
 
     async def ready(self, seconds=30):
-        """s until a test has passed."""
+        """Waits until the proxy passes a TEST. Returns the seconds taken."""
         began = time.monotonic()
         while time.monotonic() < began + seconds:
             with contextlib.suppress(OSError, TimeoutError):
@@ -128,12 +128,12 @@
         self.log.close()
 
 
-class Many:
-    """`servers` by the index of their pools; each proxy has a feed of its own, as its servers' addresses are its own."""
+class ProxyFleet:
+    """Proxies, relay and servers. Each proxy has a feed of its own, as the servers' addresses differ from proxy to proxy."""
 
     def __init__(self, folder, plans, servers=2):
         self.folder, self.plans, self.number, self.tasks = folder, plans, 0, []
-        self.servers = [Told(f"s-0000000{n}") for n in "ab"[:servers]]
+        self.servers = [ReportingServer(f"s-0000000{n}") for n in "ab"[:servers]]
 
     async def __aenter__(self):
         loop = asyncio.get_running_loop()
@@ -146,17 +146,17 @@
             feed.add(1)
             self.feeds.append(feed)
             reached = [await proxy.server(s) for s in self.servers]
-            proxy.start(configuration(f"127.0.0.1:{proxy.port}", feed, reached, MANY, number=proxy.number))
+            proxy.start(configuration(f"127.0.0.1:{proxy.port}", feed, reached, FLEET_SETTINGS, number=proxy.number))
         await asyncio.gather(*(p.ready() for p in self.proxies))
         assert all(p.caller for p in self.proxies)
         return self
 
     async def add(self, server):
         await server.start("127.0.0.1")
-        self.tasks.append(asyncio.create_task(server.tell()))
+        self.tasks.append(asyncio.create_task(server.report_state()))
 
     async def list(self, *changes):
-        """Each change: (server, state, pool, started as Unix milliseconds), told to all proxies in one event."""
+        """Sends the changes (server, state, pool, start in Unix milliseconds) to all proxies in one event."""
         for proxy, feed in zip(self.proxies, self.feeds, strict=True):
             reached = [(await proxy.server(s), *rest) for s, *rest in changes]
             feed.add(
@@ -164,7 +164,7 @@
             )
 
     def call(self, **values):
-        """One more call at a proxy drawn unevenly: some get several times the mean."""
+        """Starts a call at a proxy drawn from an uneven distribution: some get several times the mean."""
         n = min(int(random.paretovariate(1.2)) - 1, PROXIES - 1)
         self.number += 1
         proxy = self.proxies[(n * 7 + self.number % 5) % PROXIES]
@@ -187,98 +187,102 @@
         await self.relay.close()
 
 
-def play(test, folder, plans=()):
+def run_on_fleet(test, folder, plans=()):
     async def main():
-        async with Many(folder, list(plans)) as many:
-            await asyncio.wait_for(test(many), 60)
+        async with ProxyFleet(folder, list(plans)) as fleet:
+            await asyncio.wait_for(test(fleet), 60)
 
     random.seed(11)
     asyncio.run(main())
 
 
-def owed(many, now):
-    """Set-ups whose time is over and that have no answer on a connection that is still up."""
+def overdue_setups(fleet, now):
+    """Set-ups past their deadline without an answer, on connections that are still up."""
     return [
         call
-        for p in many.proxies
+        for p in fleet.proxies
         for call, (caller, until_at) in p.calls.items()
         if not caller.closed and not caller.kinds(call) and now > until_at + 0.05
     ]
 
 
 def test_twenty_proxies_keep_a_cold_server_to_its_budget_in_sum_through_slow_and_cut_links(tmp_path):
-    """One server of two is replaced by a cold one. Some links to it are slow, some silent for a second, some reset and
-    refused, so that what was held back could come at once."""
-    cold = Told("s-0000000c")
+    """One of two servers is replaced by a cold one. Some links to it are slow, some silent for a second, some reset and
+    refused, so that delayed set-ups could arrive all at once."""
+    cold = ReportingServer("s-0000000c")
     names = [[f"proxy{n + 1}" for n in range(k, PROXIES, 4)] for k in range(3)]
     plans = [LinkPlan(at=0.0, seconds=60.0, proxies=names[0], to=[cold.name], delay_ms=250, jitter_ms=100)]
 
-    async def test(many):
-        await many.load(TAKES, 6)
-        taken = len(many.servers[0].came_at) / 6
-        now = many.relay.now() / 1e6
-        many.plans += [
+    async def test(fleet):
+        await fleet.load(SERVER_RATE, 6)
+        accepted_rate = len(fleet.servers[0].arrived_at) / 6
+        now = fleet.relay.now() / 1e6
+        fleet.plans += [
             LinkPlan(at=now + 0.2, seconds=1.0, proxies=names[1], to=[cold.name], cut=True),
             LinkPlan(at=now + 0.5, seconds=0.8, proxies=names[2], to=[cold.name], reset=True),
         ]
-        await many.add(cold)
+        await fleet.add(cold)
         began = time.monotonic()
-        await many.list((many.servers[0], 2, 0, 0), (cold, 0, 0, int(time.time() * 1000)))
-        await many.load(TAKES * 5, 5)  # far more than a cold one may be sent
-        came = [at - began for at in cold.came_at]
+        await fleet.list((fleet.servers[0], 2, 0, 0), (cold, 0, 0, int(time.time() * 1000)))
+        await fleet.load(SERVER_RATE * 5, 5)  # far more than a cold server may receive
+        arrivals = [at - began for at in cold.arrived_at]
         window = RULES["fallMs"] / 1000
-        for n, at in enumerate(came):
+        for n, at in enumerate(arrivals):
             warmth = RULES["startCapacity"] + (1 - RULES["startCapacity"]) * max(0, at - window) / (
                 RULES["warmUpMs"] / 1000
             )
-            budget = RULES["fallMultiple"] * taken * warmth * window
-            in_window = sum(at - window < other for other in came[: n + 1])
+            budget = RULES["fallMultiple"] * accepted_rate * warmth * window
+            in_window = sum(at - window < other for other in arrivals[: n + 1])
             assert in_window <= budget + 2 * math.sqrt(budget) + 2, (at, in_window, budget)
-        may = taken * 5 * (RULES["startCapacity"] + (1 - RULES["startCapacity"]) * 2.5 / (RULES["warmUpMs"] / 1000))
-        assert len(came) > 0.15 * may, "it is left idle"
+        allowed = (
+            accepted_rate
+            * 5
+            * (RULES["startCapacity"] + (1 - RULES["startCapacity"]) * 2.5 / (RULES["warmUpMs"] / 1000))
+        )
+        assert len(arrivals) > 0.15 * allowed, "the cold server is left idle"
         await asyncio.sleep(2.6)
-        assert not owed(many, time.monotonic())
+        assert not overdue_setups(fleet, time.monotonic())
         await cold.stop()
 
-    play(test, tmp_path, plans)
+    run_on_fleet(test, tmp_path, plans)
 
 
-def test_seven_in_ten_killed_at_once_are_ready_again_in_time_and_what_stood_is_released_once(tmp_path):
-    async def test(many):
-        await many.load(60, 3)
-        gone = many.proxies[: PROXIES * 7 // 10]
-        stood = {p: [c for c, (caller, _) in p.calls.items() if caller.kinds(c) == [isup.ANSWER]] for p in gone}
-        at = {call: s.name for s in many.servers for call in s.standing}
-        for p in gone:
+def test_seven_in_ten_killed_at_once_are_ready_in_time_and_answered_calls_are_released_once(tmp_path):
+    async def test(fleet):
+        await fleet.load(60, 3)
+        killed = fleet.proxies[: PROXIES * 7 // 10]
+        answered = {p: [c for c, (caller, _) in p.calls.items() if caller.kinds(c) == [isup.ANSWER]] for p in killed}
+        server_of = {call: s.name for s in fleet.servers for call in s.standing}
+        for p in killed:
             p.process.kill()
-        for p in gone:
+        for p in killed:
             p.process.wait()
-        for p in gone:
+        for p in killed:
             await p.caller.close()
             p.caller = None
             p.calls.clear()
             p.start()
-        loading = asyncio.create_task(many.load(40, 3))
-        took = sorted(await asyncio.gather(*(p.ready() for p in gone)))
-        assert took[math.ceil(0.9 * len(gone)) - 1] < 10, took
-        told = {}
-        for p in gone:  # the callers of what stood tell of it, as the platform's do after a kill
-            for call in stood[p]:
-                if call.hex() in at:
-                    told[call] = p
-                    p.caller.setup(call, figures=f"dest:0;width:1;via:-1;at:{at[call.hex()]}".encode())
-        assert len(told) > 20
-        await until(lambda: all(p.caller.kinds(call) for call, p in told.items()), 6)
+        loading = asyncio.create_task(fleet.load(40, 3))
+        ready_s = sorted(await asyncio.gather(*(p.ready() for p in killed)))
+        assert ready_s[math.ceil(0.9 * len(killed)) - 1] < 10, ready_s
+        reported = {}
+        for p in killed:  # callers report answered calls to the new process, as the platform's do after a kill
+            for call in answered[p]:
+                if call.hex() in server_of:
+                    reported[call] = p
+                    p.caller.setup(call, figures=f"dest:0;width:1;via:-1;at:{server_of[call.hex()]}".encode())
+        assert len(reported) > 20
+        await until(lambda: all(p.caller.kinds(call) for call, p in reported.items()), 6)
         await loading
         await asyncio.sleep(2.6)
-        assert all(p.caller.kinds(call) == [isup.RELEASE] for call, p in told.items())
-        assert not owed(many, time.monotonic())
+        assert all(p.caller.kinds(call) == [isup.RELEASE] for call, p in reported.items())
+        assert not overdue_setups(fleet, time.monotonic())
 
-    play(test, tmp_path)
+    run_on_fleet(test, tmp_path)
 
 
 def test_a_rolling_restart_through_slow_and_reset_links_leaves_nothing_owed(tmp_path):
-    """A tenth at a time gets SIGTERM under load, while links to a server are slow, silent or reset."""
+    """A tenth of the proxies at a time gets SIGTERM under load, while links to a server are slow, silent or reset."""
     plans = [
         LinkPlan(
             at=0.0,
@@ -290,35 +294,35 @@
         )
     ]
 
-    async def test(many):
-        now = many.relay.now() / 1e6
-        many.plans += [
+    async def test(fleet):
+        now = fleet.relay.now() / 1e6
+        fleet.plans += [
             LinkPlan(at=now + 2, seconds=0.7, proxies=["proxy2", "proxy9"], to=["s-0000000b"], reset=True),
             LinkPlan(at=now + 3, seconds=0.7, proxies=["proxy3", "proxy10"], to=["s-0000000b"], cut=True),
         ]
-        loading, took, left = asyncio.create_task(many.load(90, 9)), [], []
+        loading, ready_s, stopped_callers = asyncio.create_task(fleet.load(90, 9)), [], []
         for n in range(0, PROXIES // 2, 2):
-            for p in many.proxies[n : n + 2]:
+            for p in fleet.proxies[n : n + 2]:
                 p.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.3)
-            for p in many.proxies[n : n + 2]:
-                left.append((p.caller, dict(p.calls)))
+            for p in fleet.proxies[n : n + 2]:
+                stopped_callers.append((p.caller, dict(p.calls)))
                 p.caller, p.calls = None, {}
         await loading
-        stopping = many.proxies[: PROXIES // 2]
+        stopping = fleet.proxies[: PROXIES // 2]
         await until(lambda: all(p.process.poll() is not None for p in stopping), 10)
         assert all(p.process.returncode == 0 for p in stopping)
         for p in stopping:
             p.start()
-        took = sorted(await asyncio.gather(*(p.ready() for p in stopping)))
-        assert took[math.ceil(0.9 * len(took)) - 1] < 10, took
-        calls = [(caller.kinds(c), c.hex()) for caller, calls in left for c in calls]
-        assert len(calls) > 30 and not [c for kinds, c in calls if not kinds], "taken and not answered"
+        ready_s = sorted(await asyncio.gather(*(p.ready() for p in stopping)))
+        assert ready_s[math.ceil(0.9 * len(ready_s)) - 1] < 10, ready_s
+        calls = [(caller.kinds(c), c.hex()) for caller, calls in stopped_callers for c in calls]
+        assert len(calls) > 30 and not [c for kinds, c in calls if not kinds], "accepted and not answered"
         assert not [c for kinds, c in calls if kinds[0] == isup.ANSWER and kinds[1:] != [isup.RELEASE]], (
             "not released once"
         )
-        assert not owed(many, time.monotonic())
-        for caller, _ in left:
+        assert not overdue_setups(fleet, time.monotonic())
+        for caller, _ in stopped_callers:
             await caller.close()
 
-    play(test, tmp_path, plans)
+    run_on_fleet(test, tmp_path, plans)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""A real border proxy, a process of its own, against the stand-in of the platform on loopback."""
+"""A real border proxy process against the platform's stand-ins on loopback."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 
 
 class Platform:
-    """Two central servers, a feed and one border proxy."""
+    """Two central servers, a control feed and one border proxy."""
 
     def __init__(self, folder, sockets=256, settings=SETTINGS):
         self.folder, self.sockets, self.settings, self.callers = folder, sockets, settings, []
@@ -47,7 +47,7 @@
         self.port = reserve_port()
         self.config = self.folder / "config.json"
         self.write()
-        self.log = open(self.folder / "log", "w")  # noqa: SIM115 - closed at the end
+        self.log = open(self.folder / "log", "w")  # noqa: SIM115 - closed in __aexit__
         self.start()
         await self.ready()
         return self
@@ -85,7 +85,7 @@
         for peer in (*self.servers, self.feed):
             await peer.stop()
 
-    def said(self):
+    def logged_events(self):
         return [json.loads(line)["event"] for line in (self.folder / "log").read_text().splitlines()]
 
 
@@ -93,7 +93,7 @@
     return (0x9B1F000000000000 + n).to_bytes(8, "big")
 
 
-def play(test, folder, **other):
+def run_on_platform(test, folder, **other):
     async def main():
         async with Platform(folder, **other) as platform:
             await asyncio.wait_for(test(platform), 40)
@@ -101,7 +101,7 @@
     asyncio.run(main())
 
 
-def over(caller, call):
+def is_released(caller, call):
     return caller.kinds(call)[-1:] == [isup.RELEASE]
 
 
@@ -109,33 +109,33 @@
     async def test(p):
         caller = await p.caller()
         calls = [caller.setup(call_id(n)) for n in range(60)]
-        await until(lambda: all(over(caller, call) for call in calls))
+        await until(lambda: all(is_released(caller, call) for call in calls))
         for call in calls:
             assert caller.kinds(call) == [isup.ANSWER, isup.RELEASE]
             assert caller.got[call][0][1][isup.DESCRIPTION] == p.servers[0].description(call.hex())
             assert caller.got[call][1][1][isup.CAUSE] == b"\x10"
         assert all(n == 1 for s in p.servers for n in s.seen.values())
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
-def test_the_way_of_a_call_is_in_the_log_under_its_id(tmp_path):
+def test_the_steps_of_a_call_are_in_the_log_under_its_id(tmp_path):
     async def test(p):
         caller = await p.caller()
         call = caller.setup(call_id(1))
-        await until(lambda: over(caller, call))
+        await until(lambda: is_released(caller, call))
         caller.writer.write(isup.encode(isup.RELEASE_COMPLETE, call))
         await caller.close()
         refused = await p.caller()
         refused.setup(call_id(2), kind=b"none")
         await until(lambda: refused.closed)
         lines = [json.loads(line) for line in (tmp_path / "log").read_text().splitlines()]
-        way = [line["did"] for line in lines if line.get("call") == call.hex()]
-        assert way == ["set-up", "sent", "stood", "over", "release sent", "release heard"]
+        steps = [line["did"] for line in lines if line.get("call") == call.hex()]
+        assert steps == ["set-up", "sent", "stood", "over", "release sent", "release heard"]
         ended = [line["why"] for line in lines if line["event"] == "connection" and line["did"] == "ended"]
-        assert ended[-2:] == ["closed by its peer", "what came by it is of no use"]
+        assert ended[-2:] == ["closed by its peer", "an unusable message was received"]
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_a_refusal_is_in_the_log_with_the_modules_reason(tmp_path):
@@ -145,27 +145,27 @@
         caller = await p.caller()
         await until(lambda: (tmp_path / "log").read_text().count("draining by the list") == len(p.servers))
         call = caller.setup(call_id(1))
-        await until(lambda: over(caller, call))
+        await until(lambda: is_released(caller, call))
         lines = [json.loads(line) for line in (tmp_path / "log").read_text().splitlines()]
         (refused,) = [line for line in lines if line.get("call") == call.hex() and line["did"] == "refused"]
         assert refused["why"] == "no server has room for it"
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_it_is_one_thread_and_starts_no_process(tmp_path):
     async def test(p):
         for s in p.servers:
-            s.cut()  # connections are opened anew
+            s.cut()  # the proxy must reconnect
         caller = await p.caller()
         calls = [caller.setup(call_id(n)) for n in range(20)]
-        await until(lambda: all(over(caller, call) for call in calls))
-        of = f"/proc/{p.process.pid}/task"
-        assert os.listdir(of) == [str(p.process.pid)]
-        with open(f"{of}/{p.process.pid}/children") as children:
+        await until(lambda: all(is_released(caller, call) for call in calls))
+        tasks = f"/proc/{p.process.pid}/task"
+        assert os.listdir(tasks) == [str(p.process.pid)]
+        with open(f"{tasks}/{p.process.pid}/children") as children:
             assert not children.read()
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_bad_clients_are_turned_away_and_good_ones_are_not_harmed(tmp_path):
@@ -173,7 +173,7 @@
         good = await p.caller()
         assert await good.test()
         good.setup(call_id(500))
-        silent = [await p.caller() for _ in range(300)]  # more than the proxy may hold
+        silent = [await p.caller() for _ in range(300)]  # more than the proxy may accept
         bad = [await p.caller() for _ in range(6)]
         bad[0].writer.write(b"GET / HTTP/1.1\r\n\r\n")
         bad[1].writer.write(b"\xff\xff" + b"x" * 100_000)
@@ -190,18 +190,18 @@
         await until(lambda: all(c.closed for c in silent), 3)
         assert bad[2].kinds(call_id(900)) == [isup.RELEASE] and bad[3].kinds(call_id(901)) == [isup.RELEASE]
         assert not {call_id(n).hex() for n in (900, 901, 902)} & set(p.servers[0].seen)
-        open_ = len(os.listdir(f"/proc/{p.process.pid}/fd"))
-        assert open_ <= 256
+        descriptors = len(os.listdir(f"/proc/{p.process.pid}/fd"))
+        assert descriptors <= 256
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_a_caller_that_does_not_read_and_an_answer_of_three_gigabytes_harm_nobody(tmp_path):
     async def test(p):
-        deaf = await p.caller()
-        deaf.task.cancel()
+        unread = await p.caller()
+        unread.task.cancel()
         for n in range(3000):
-            deaf.writer.write(isup.encode(isup.TEST, call_id(n), (isup.CAUSE, b"\0")))
+            unread.writer.write(isup.encode(isup.TEST, call_id(n), (isup.CAUSE, b"\0")))
         p.servers[0].spoil = lambda call: (
             (b"SIP/2.0 200 OK\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 70_000)
             if call == call_id(0).hex()
@@ -210,10 +210,10 @@
         good = await p.caller()
         calls = [good.setup(call_id(n), within=2500) for n in range(30)]
         await until(lambda: all(good.kinds(call) for call in calls))
-        await until(lambda: all(over(good, call) for call in calls))
+        await until(lambda: all(is_released(good, call) for call in calls))
         assert p.process.poll() is None
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_releases_come_through_a_reset_of_every_connection(tmp_path):
@@ -228,10 +228,10 @@
         await caller.close()
         other = await p.caller()
         other.setup(call_id(50))
-        await until(lambda: all(over(other, call) for call in calls))
+        await until(lambda: all(is_released(other, call) for call in calls))
         assert all(len(other.got[call]) == 1 for call in calls)
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_a_server_told_gone_gets_nothing_more_and_the_feed_is_asked_again(tmp_path):
@@ -245,7 +245,7 @@
         assert not a.seen and len(p.servers[1].seen) == 10
         p.feed.cut()
         await until(lambda: p.feed.asked[-1] == 2)
-        p.feed.mute = True  # it stays open and says nothing
+        p.feed.mute = True  # it stays open and sends nothing
         asked = len(p.feed.asked)
         await until(lambda: len(p.feed.asked) > asked, 4)
         p.feed.mute = False
@@ -254,7 +254,7 @@
         calls = [caller.setup(call_id(100 + n)) for n in range(10)]
         await until(lambda: len(a.seen) > 0)
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_sighup_moves_the_feed_and_a_bad_file_leaves_the_old_in_force(tmp_path):
@@ -262,7 +262,7 @@
         caller = await p.caller()
         p.config.write_text("{")
         p.process.send_signal(signal.SIGHUP)
-        await until(lambda: "configuration refused, the old one stays" in p.said())
+        await until(lambda: "configuration refused, the old one stays" in p.logged_events())
         calls = [caller.setup(call_id(n)) for n in range(5)]
         old, p.feed = p.feed, await ControlFeed().start("127.0.0.1")
         p.feed.add(1)
@@ -271,14 +271,14 @@
         p.write()
         p.process.send_signal(signal.SIGHUP)
         await until(lambda: p.feed.asked == [1])
-        await until(lambda: all(over(caller, call) for call in calls))
+        await until(lambda: all(is_released(caller, call) for call in calls))
         seen = len(a.seen)
         call = caller.setup(call_id(100))
-        await until(lambda: over(caller, call))
+        await until(lambda: is_released(caller, call))
         assert len(a.seen) == seen
         await old.stop()
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_sigterm_serves_what_still_comes_and_passes_releases_on(tmp_path):
@@ -291,11 +291,13 @@
         late = await p.caller()
         calls = [late.setup(call_id(10 + n)) for n in range(5)]
         assert not await late.test()
-        await until(lambda: over(caller, first) and all(late.kinds(c) == [isup.ANSWER, isup.RELEASE] for c in calls))
+        await until(
+            lambda: is_released(caller, first) and all(late.kinds(c) == [isup.ANSWER, isup.RELEASE] for c in calls)
+        )
         await until(lambda: p.process.poll() is not None, 5)
-        assert p.process.returncode == 0 and "stopped" in p.said()
+        assert p.process.returncode == 0 and "stopped" in p.logged_events()
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 def test_calls_told_after_a_kill_are_released_at_their_end(tmp_path):
@@ -310,16 +312,16 @@
         p.process.wait()
         p.start()
         await p.ready()
-        again = await p.caller()
-        again.setup(call, figures=f"dest:0;width:1;via:-1;at:{name}".encode())
-        await until(lambda: over(again, call))
-        assert again.kinds(call) == [isup.RELEASE] and again.got[call][0][1][isup.CAUSE] == b"\x10"
+        reconnected = await p.caller()
+        reconnected.setup(call, figures=f"dest:0;width:1;via:-1;at:{name}".encode())
+        await until(lambda: is_released(reconnected, call))
+        assert reconnected.kinds(call) == [isup.RELEASE] and reconnected.got[call][0][1][isup.CAUSE] == b"\x10"
 
-    play(test, tmp_path)
+    run_on_platform(test, tmp_path)
 
 
 @pytest.mark.parametrize(
-    ("change", "said", "code"),
+    ("change", "message", "code"),
     [
         (None, "GW_CONFIG is not set", 2),
         ("missing", "cannot be read", 2),
@@ -330,8 +332,8 @@
         ("taken", "cannot be opened", 1),
     ],
 )
-def test_a_bad_start_is_one_plain_line_and_an_exit_code(tmp_path, change, said, code):
-    class Nobody:
+def test_a_bad_start_is_one_plain_line_and_an_exit_code(tmp_path, change, message, code):
+    class AbsentPeer:
         host, port, name = "127.0.0.1", 9, "s-0000000a"
 
     taken = socket.socket()
@@ -339,10 +341,10 @@
     taken.listen()
     address = f"127.0.0.1:{taken.getsockname()[1]}"
     path = tmp_path / "config.json"
-    given = json.loads(configuration(address, Nobody, [Nobody], SETTINGS))
+    config = json.loads(configuration(address, AbsentPeer, [AbsentPeer], SETTINGS))
     if isinstance(change, dict):
-        given |= change
-    path.write_text("{" if change == "{" else json.dumps(given))
+        config |= change
+    path.write_text("{" if change == "{" else json.dumps(config))
     environ = {k: v for k, v in os.environ.items() if k != "GW_CONFIG"}
     if change is not None:
         environ["GW_CONFIG"] = str(tmp_path / "nothing") if change == "missing" else str(path)
@@ -350,5 +352,5 @@
         [sys.executable, "-m", "thorndale.node"], env=environ, capture_output=True, text=True, timeout=30
     )
     taken.close()
-    assert done.returncode == code and said in done.stderr and "Traceback" not in done.stderr
+    assert done.returncode == code and message in done.stderr and "Traceback" not in done.stderr
     assert done.stderr.count("\n") == 1
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Processes of `thorndale run` and `thorndale.node`, and signals that meet their start or their end."""
+"""Signals sent to processes of `thorndale run` and `thorndale.node` while they start or end."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 from thorndale.standins.ports import reserve_port
 
 EXAMPLES = Path(__file__).parents[1] / "examples"
-STEP_S = 0.003  # s between two signals of a series
+SIGNAL_INTERVAL_S = 0.003
 
 
 def daemon(folder):
@@ -28,7 +28,7 @@
 
 
 def node(folder):
-    """The same of a border proxy of the platform, whose feed is down."""
+    """The same for a border proxy of the platform, whose control feed is down."""
     feed = ControlFeed()
     feed.host, feed.port = "127.0.0.1", reserve_port()
     listen = f"127.0.0.1:{reserve_port()}"
@@ -50,21 +50,21 @@
         process.wait()
 
 
-def serves(folder):
+def is_serving(folder):
     return '"started"' in (folder / "log").read_text()
 
 
 def is_loading(process):
-    """Whether the program itself runs by now, and loads its libraries: before that the signal is the interpreter's."""
+    """Whether the program is importing its libraries. Before that, the interpreter handles the signal."""
     return "uvloop" in Path(f"/proc/{process.pid}/maps").read_text()
 
 
-# Guards against an end by the signal itself where signals go on coming while the process ends.
+# Signals that arrive after the event loop has removed its handlers must not kill the ending process.
 @pytest.mark.parametrize("program", [daemon, node])
 def test_signals_in_series_do_not_end_a_running_proxy_by_the_signal(tmp_path, program):
     async def main():
         with started(tmp_path, program) as process:
-            await until(lambda: serves(tmp_path))
+            await until(lambda: is_serving(tmp_path))
             process.send_signal(signal.SIGTERM)
             number = 0
             while process.poll() is None and number < 10_000:
@@ -77,15 +77,15 @@
     assert code == 0 and number > 10
 
 
-# Guards against a crash where a new configuration is told to a proxy that is just being started.
+# SIGHUP that arrives before the handlers are installed must not kill a starting proxy.
 @pytest.mark.parametrize("program", [daemon, node])
 def test_a_proxy_told_to_reload_while_it_starts_comes_up(tmp_path, program):
     async def main():
         with started(tmp_path, program) as process:
             await until(lambda: is_loading(process))
-            while not serves(tmp_path) and process.poll() is None:
+            while not is_serving(tmp_path) and process.poll() is None:
                 process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(SIGNAL_INTERVAL_S)
             assert process.poll() is None
             process.send_signal(signal.SIGTERM)
             return await asyncio.to_thread(process.wait, 10)
@@ -93,7 +93,7 @@
     assert asyncio.run(main()) == 0
 
 
-# Guards against an end by the signal itself where a proxy is told to end while it starts.
+# SIGTERM that arrives before the handlers are installed must stop a starting proxy in order, not kill it.
 @pytest.mark.parametrize("program", [daemon, node])
 def test_a_proxy_told_to_end_while_it_starts_ends_in_order(tmp_path, program):
     async def main():
--- a/thorndale/door.py
+++ b/thorndale/door.py
@@ -1,26 +1,26 @@
-"""The module's door in a host: calls by dense numbers, events gathered into one batch, actions out of it.
+"""Hosts a decision module: gives calls dense indices, batches events for the module and returns its actions.
 
-Calls are numbered here, and a number is used again once its call is over and its last seizure's end told.
+The index of a call is reused once the call is over and the end of its last seizure has been reported.
 """
 
 from thorndale import interface as io
 
 
 class Door:
-    """Events are gathered and handed over in one batch by `take`, which gives the actions."""
+    """Collects events and passes them to the module in one batch with `take`, which returns the actions."""
 
     def __init__(self, module):
         self.module = module
-        self.calls, self.spare, self.events = [], [], []
+        self.calls, self.free_indices, self.events = [], [], []
 
     def __len__(self):
-        """Calls that have a number."""
-        return len(self.calls) - len(self.spare)
+        """The number of calls that have an index."""
+        return len(self.calls) - len(self.free_indices)
 
     def number(self, call):
-        """A number for a call, to be given back by `release`."""
-        if self.spare:
-            index = self.spare.pop()
+        """Assigns an index to a call, to be returned with `release`."""
+        if self.free_indices:
+            index = self.free_indices.pop()
             self.calls[index] = call
             return index
         self.calls.append(call)
@@ -28,7 +28,7 @@
 
     def release(self, index):
         self.calls[index] = None
-        self.spare.append(index)
+        self.free_indices.append(index)
 
     def tell(self, event):
         self.events.append(event)
@@ -38,7 +38,7 @@
         return self.module.handle(now, events)
 
     def server_state(self, server):
-        """What the list last said of a server: for logs and status, no decision is made on it."""
+        """The state of a server in the latest server list, for logs and status only; decisions don't read it."""
         module = self.module
         state = module.state[server] if server < len(module.state) else io.GONE
         return ("serving", "draining", "gone")[state]
--- a/thorndale/net/__init__.py
+++ b/thorndale/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets on asyncio: UDP and TCP, their bounds and back-pressure. Bytes and hops go by; nothing is decided."""
+"""UDP and TCP sockets on asyncio with limits and back-pressure. Moves bytes between hops; makes no decisions."""
--- a/thorndale/net/alarm.py
+++ b/thorndale/net/alarm.py
@@ -1,17 +1,17 @@
-"""One timer on the loop for a heap of timers: set for the next that falls due, never later."""
+"""Drives a heap of timers from the event loop with a single loop timer, set for the earliest one."""
 
 from thorndale.net.clock import now_us
 
 
 class Alarm:
-    """`due(late_us)` is called when the next timer of `timers` has come; it runs them and calls `arm` in the end."""
+    """Calls `due(late_us)` when the next timer of `timers` is due; `due` runs the timers and then calls `arm`."""
 
     def __init__(self, loop, timers, due):
         self.loop, self.timers, self.due = loop, timers, due
         self.handle, self.at = None, 0
 
     def arm(self):
-        """After whatever may have set an earlier timer."""
+        """Must be called after anything that may have set an earlier timer."""
         at = self.timers.next_at()
         if at is None or (self.handle is not None and self.at <= at):
             return
--- a/thorndale/net/clock.py
+++ b/thorndale/net/clock.py
@@ -1,8 +1,8 @@
-"""The clock that all times inside are told by."""
+"""The monotonic clock that all internal times are read from."""
 
 import time
 
 
 def now_us():
-    """Whole microseconds; it only advances, and is the same in all processes here."""
+    """Whole microseconds; never goes back, and is the same in all processes of this machine."""
     return time.monotonic_ns() // 1000
--- a/thorndale/net/connection.py
+++ b/thorndale/net/connection.py
@@ -1,8 +1,8 @@
-"""One stream connection: a task that reads and one that writes, framed by what it is given.
+"""One stream connection: a reading and a writing task, with a framer that splits the stream into messages.
 
-What is sent goes to the kernel at once where it takes it, and `send` says whether the connection takes it at all: what
-it does not take is still its sender's. The end is told once, when it is seen; nothing is taken after it. Who owns
-connections, and what they are told, is in `tcp`.
+Data is written to the kernel at once where possible. `send` returns whether the connection accepted the data; data it
+did not accept remains the sender's. The end of a connection is reported once, when it is detected; nothing is accepted
+after it. `tcp` owns the connections and receives their reports.
 """
 
 import asyncio
@@ -16,42 +16,41 @@
 from thorndale.sip.errors import SipError
 from thorndale.sip.framing import KEEPALIVE, Framer
 
-READ = 65_536  # bytes read at one go
-HIGH_PART = 0.5  # of the unsent bytes allowed from which on no more is read from that peer: it must read first
-READS = 8  # reads of one connection before what came is acted on: what lies behind a message may take it back
-MESSAGE_PARTS = 4  # times as long as it may stop may a message take in all
-THROWN_MOST = 65_536  # bytes thrown away of a finished one at most: a sender at full speed would take the loop's time
+READ_BYTES = 65_536  # size of one read
+HIGH_WATER_SHARE = 0.5  # share of the unsent bytes allowed above which the peer is not read until it reads
+READS_PER_BATCH = 8  # reads before the input is acted on: what follows a message may cancel it
+MESSAGE_TIME_FACTOR = 4  # limit for a whole message, in multiples of the limit for a pause within it
+MAX_DISCARDED_BYTES = 65_536  # limit after `finish`: a peer sending at full speed would occupy the event loop
 
 
 class Stream(NamedTuple):
-    """What a Tcp's connections carry. `framer()` has `feed(bytes)`, which gives whole messages, and `partial`; it
-    raises one of `faults` where the stream is of no further use. `read`: bytes read at one go, held by each
-    connection. `unreached`, `spoilt`: the kinds of end of a connection that was neither up nor refused, and of one
-    whose stream cannot be read."""
+    """The protocol on a Tcp's connections. `framer()` has `feed(bytes)`, which yields whole messages, and `partial`; it
+    raises one of `errors` where the stream cannot be read further. `read_bytes`: size of one read and of the buffer
+    of each connection. `unreached_kind`, `malformed_kind`: the kinds of end reported for a connection that neither
+    came up nor was refused, and for one whose stream cannot be read."""
 
     framer: type = Framer
-    faults: tuple = (SipError,)
-    read: int = READ
-    unreached: str = "refused"
-    spoilt: str = "lost"
+    errors: tuple = (SipError,)
+    read_bytes: int = READ_BYTES
+    unreached_kind: str = "refused"
+    malformed_kind: str = "lost"
 
 
 SIP = Stream()
 
 
 async def connect(loop, sock, address, seconds):
-    """Connects a non-blocking socket to (host, port), the host an address in figures and never a name: uvloop's
-    `sock_connect` asks the resolver for each, in one of four threads that it starts for that. Raises OSError, also
-    where it takes longer than that. No `wait_for`: the error that it passes on holds itself, and all else, in a
-    cycle."""
-    socket.inet_pton(sock.family, address[0].partition("%")[0])  # or `connect_ex` would look the name up, blocking
+    """Connects a non-blocking socket to (host, port); the host is a numeric address, never a name. Raises OSError, also
+    on time-out. uvloop's `sock_connect` is not used, as it asks the resolver for each address, in one of four threads
+    that it starts for that. Nor is `wait_for`, as the exception that it raises is part of a reference cycle."""
+    socket.inet_pton(sock.family, address[0].partition("%")[0])  # else `connect_ex` would resolve a name, blocking
     error = sock.connect_ex(address)
     if error in (errno.EINPROGRESS, errno.EINTR):
         settled = loop.create_future()
 
-        def settle(late=0):
+        def settle(code=0):
             if not settled.done():
-                settled.set_result(late)
+                settled.set_result(code)
 
         timer = loop.call_later(seconds, settle, errno.ETIMEDOUT)
         loop.add_writer(sock, settle)
@@ -66,47 +65,47 @@
 
 
 class Connection:
-    """`hop` is what messages by it are known by: (tcp, host, port, 0) when opened from here, else with a number."""
+    """`hop` identifies the connection's messages: (tcp, host, port, 0) when opened from here, else with a number."""
 
     def __init__(self, owner, hop, sock, opening):
         self.owner, self.hop, self.sock, self.opening = owner, hop, sock, opening
-        self.queue, self.unsent, self.wake, self.drained = deque(), 0, asyncio.Event(), asyncio.Event()
+        self.queue, self.unsent, self.write_wanted, self.drained = deque(), 0, asyncio.Event(), asyncio.Event()
         self.drained.set()
         self.framer, self.closed = owner.stream.framer(), False
-        self.partial_at = self.progress_at = 0.0  # when the message that is not whole yet began, and when it went on
+        self.partial_since = self.progress_at = 0.0  # start and latest byte of the message that is still incomplete
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.established, self.opened_at, self.spoke = not opening, owner.loop.time(), False
-        self.ending_at, self.told, self.thrown, self.kind = None, False, 0, "lost"
+        self.established, self.opened_at, self.got_message = not opening, owner.loop.time(), False
+        self.finished_at, self.end_reported, self.discarded_bytes, self.end_kind = None, False, 0, "lost"
         self.reason = ""  # why it ended, for the log
 
     def send(self, data):
-        """Whether the connection has taken the data: the kernel has it, or it waits here for the peer to read."""
-        if self.closed or self.ending_at is not None:
+        """Whether the connection accepted the data: the kernel has it, or it is queued until the peer reads."""
+        if self.closed or self.finished_at is not None:
             return False
         if self.established and not self.queue:
             try:
                 data = data[self.sock.send(data) :]
             except (BlockingIOError, InterruptedError):
                 pass
-            except OSError as fault:
-                self._fails(fault)
+            except OSError as error:
+                self._send_failed(error)
                 return False
             if not data:
                 return True
         limits = self.owner.limits
         self.unsent += len(data)
-        if self.unsent > limits.unsent_bytes:  # the peer does not read: kept for, it would take all memory
+        if self.unsent > limits.unsent_bytes:  # the peer does not read; its queue would take all memory
             self.owner.count["cut, not reading"] += 1
             self.owner.drop(self, "its peer does not read")
             return False
-        if self.unsent > limits.unsent_bytes * HIGH_PART:
+        if self.unsent > limits.unsent_bytes * HIGH_WATER_SHARE:
             self.drained.clear()
         self.queue.append(data)
-        self.wake.set()
+        self.write_wanted.set()
         return True
 
-    def unread(self):
-        """Whether bytes or the peer's end lie in the socket that no reader has seen."""
+    def has_unread(self):
+        """Whether the socket holds bytes, or the peer's end of stream, that have not been read."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -116,130 +115,130 @@
         return True
 
     async def write(self):
-        """Sends what waits, in order; of a finished connection its own end behind it."""
+        """Sends the queue in order; on a finished connection, then ends the outgoing direction."""
         loop = self.owner.loop
         try:
             while True:
-                await self.wake.wait()
-                self.wake.clear()
-                while self.queue:  # an entry stays until it is out: `send` goes round an empty queue alone
+                await self.write_wanted.wait()
+                self.write_wanted.clear()
+                while self.queue:  # an entry stays until it is sent, as `send` bypasses an empty queue
                     await loop.sock_sendall(self.sock, self.queue[0])
                     self.unsent -= len(self.queue.popleft())
                     self.drained.set()
-                if self.ending_at is not None:
+                if self.finished_at is not None:
                     self.sock.shutdown(socket.SHUT_WR)
                     return
-        except OSError as fault:
-            self._fails(fault)
+        except OSError as error:
+            self._send_failed(error)
 
-    def _fails(self, fault):
-        """The peer takes nothing more. The reader finds the end, after what the peer had sent before it."""
+    def _send_failed(self, error):
+        """The peer accepts nothing more. The reader reports the end, after reading what the peer had sent before it."""
         self.closed = True
-        self.reason = self.reason or f"cannot be sent to: {fault.strerror}"
+        self.reason = self.reason or f"send failed: {error.strerror}"
         self.drained.set()
 
-    def end_now(self):
-        """Ends both directions at once, so that the peer sees it before anyone who is told opens another connection."""
+    def shutdown(self):
+        """Ends both directions at once, so that the peer sees the end before its report makes anyone reconnect."""
         with contextlib.suppress(OSError):  # the peer has reset it
             self.sock.shutdown(socket.SHUT_RDWR)
 
     async def read(self):
-        """Reads to the end of the stream and tells of it in the same turn, so that it is known with what came."""
+        """Reads to the end of the stream and reports the end in the same loop iteration as the last data."""
         stream = self.owner.stream
         try:
             await self._read()
-        except stream.faults as fault:
-            self.kind = stream.spoilt
+        except stream.errors as error:
+            self.end_kind = stream.malformed_kind
             self.owner.count["cut, unreadable"] += 1
-            self.owner.fault = f"{self.hop.host}: {fault}"
-            self.reason = f"unreadable: {fault}"
-            self.end_now()
-        except OSError as fault:
-            self.reason = self.reason or f"broken by its peer: {fault.strerror}"
+            self.owner.last_error = f"{self.hop.host}: {error}"
+            self.reason = f"unreadable: {error}"
+            self.shutdown()
+        except OSError as error:
+            self.reason = self.reason or f"connection error: {error.strerror}"
         self.reason = self.reason or "closed by its peer"
-        self.owner.tell(self)
+        self.owner.report_end(self)
 
     async def _read(self):
         loop, owner = self.owner.loop, self.owner
-        buffer = bytearray(owner.stream.read)
+        buffer = bytearray(owner.stream.read_bytes)
         view = memoryview(buffer)
         while True:
             await self.drained.wait()
-            size, came = await loop.sock_recv_into(self.sock, buffer), False
-            for more in reversed(range(READS)):
-                if not size or self.thrown > THROWN_MOST:
+            size, completed = await loop.sock_recv_into(self.sock, buffer), False
+            for reads_left in reversed(range(READS_PER_BATCH)):
+                if not size or self.discarded_bytes > MAX_DISCARDED_BYTES:
                     return
-                came = self._take(view[:size]) or came
+                completed = self._deliver(view[:size]) or completed
                 try:
-                    size = self.sock.recv_into(buffer) if more else 0  # what is read must be taken
+                    size = self.sock.recv_into(buffer) if reads_left else 0  # bytes that are read must be delivered
                 except (BlockingIOError, InterruptedError):
                     break
             owner.on_batch()
-            self._note_progress(came)
+            self._note_progress(completed)
 
-    def _note_progress(self, came):
-        """Bytes were read; `came`: with them the end of a message."""
-        if not self.framer.partial or self.ending_at is not None:
-            self.partial_at = 0.0
+    def _note_progress(self, completed):
+        """Called after a read; `completed`: it completed a message."""
+        if not self.framer.partial or self.finished_at is not None:
+            self.partial_since = 0.0
             return
         self.progress_at = self.owner.loop.time()
-        if came or not self.partial_at:
-            self.partial_at = self.progress_at
+        if completed or not self.partial_since:
+            self.partial_since = self.progress_at
         if self.owner.on_progress is not None:
             self.owner.on_progress(self.hop)
 
     def is_stuck(self, now):
-        """Whether the rest of a message has not come for too long."""
-        if not self.partial_at:
+        """Whether the rest of a message is overdue."""
+        if not self.partial_since:
             return False
-        stop_s = self.owner.limits.partial_ms / 1000
-        return now - self.progress_at > stop_s or now - self.partial_at > stop_s * MESSAGE_PARTS
-
-    def _take(self, data):
-        """Hands on the whole messages that the data ends; whether there was one. A connection that is ending is
-        read and what comes thrown away."""
-        if self.ending_at is not None:
-            self.thrown += len(data)
+        pause_s = self.owner.limits.partial_ms / 1000
+        return now - self.progress_at > pause_s or now - self.partial_since > pause_s * MESSAGE_TIME_FACTOR
+
+    def _deliver(self, data):
+        """Passes on the messages that the data completes. Returns whether there was one. Data on a finished
+        connection is discarded."""
+        if self.finished_at is not None:
+            self.discarded_bytes += len(data)
             return False
-        came = False
+        completed = False
         try:
             for message in self.framer.feed(data):
-                came = self.spoke = True
+                completed = self.got_message = True
                 if message is KEEPALIVE:
                     self.send(b"\r\n")
                 else:
                     self.owner.on_data(message, self.hop)
-                if self.ending_at is not None:
+                if self.finished_at is not None:
                     break
-        except self.owner.stream.faults as fault:
-            if self.owner.on_unreadable is None or self.ending_at is not None:
+        except self.owner.stream.errors as error:
+            if self.owner.on_unreadable is None or self.finished_at is not None:
                 raise
-            self._unreadable(fault)
-        return came
+            self._report_unreadable(error)
+        return completed
 
-    def _unreadable(self, fault):
-        """What is owed on a stream that cannot be read further is sent by whoever is told, who then finishes it."""
+    def _report_unreadable(self, error):
+        """Calls `on_unreadable`, which sends what is still owed on the connection and finishes it."""
         self.owner.count["cut, unreadable"] += 1
-        self.owner.fault = f"{self.hop.host}: {fault}"
-        self.reason = f"unreadable: {fault}"
+        self.owner.last_error = f"{self.hop.host}: {error}"
+        self.reason = f"unreadable: {error}"
         self.owner.on_unreadable(self.hop)
 
     async def run(self):
-        """The connection's life. `kind` is that of its end, which is told once: by its reader, or by whoever owns
-        the task, as one cancelled before its first step runs none of this."""
+        """The connection's task. The end is reported once, as `end_kind`: by the reader, or by the owner of the task,
+        since a task cancelled before its first step runs none of this."""
         loop, owner = self.owner.loop, self.owner
         if self.opening:
-            self.kind = owner.stream.unreached
+            self.end_kind = owner.stream.unreached_kind
             try:
                 await connect(loop, self.sock, (self.hop.host, self.hop.port), owner.limits.connect_ms / 1000)
             except ConnectionRefusedError:
-                self.kind = self.reason = "refused"
+                self.end_kind = self.reason = "refused"
                 return
-            except OSError as fault:
-                self.reason = f"never came up: {fault.strerror}"
+            except OSError as error:
+                self.reason = f"connect failed: {error.strerror}"
                 return
-            self.kind, self.established = "lost", True
-            await asyncio.sleep(0)  # what came by others in the same turn of the loop is read first
+            self.end_kind, self.established = "lost", True
+            await asyncio.sleep(0)  # first reads what other connections received in the same loop iteration
             if owner.on_open is not None:
                 owner.on_open(self.hop)
         writer, reader = loop.create_task(self.write()), loop.create_task(self.read())
@@ -253,4 +252,4 @@
             await asyncio.wait((reader, writer))
         for task in (reader, writer):
             if not task.cancelled() and task.exception() is not None:
-                raise task.exception()  # of the program's
+                raise task.exception()  # a programming error
--- a/thorndale/node/shell.py
+++ b/thorndale/node/shell.py
@@ -1,4 +1,4 @@
-"""The border proxy's sockets, signals and log round its core: one process, one loop."""
+"""Runs a border proxy: the sockets, signals and log around its core, in one process and one event loop."""
 
 import asyncio
 import gc
@@ -13,8 +13,8 @@
 from thorndale.net.clock import now_us
 from thorndale.net.connection import Stream
 from thorndale.net.tcp import Tcp
-from thorndale.node.follow import Follower
-from thorndale.node.log import Say
+from thorndale.node.follow import FeedClient
+from thorndale.node.log import EventLog
 from thorndale.node.start import StartError, read_file
 from thorndale.platform import central, isup
 from thorndale.platform.border import Border, SocketActions
@@ -22,97 +22,98 @@
 from thorndale.platform.server_status import server_status_rows
 from thorndale.policy import Proxy
 
-OWN = 24  # descriptors of the process itself: streams, loop, listener, control feed, log
-SERVERS_PART = 4  # one part in so many of the descriptors is kept for central servers
-CALLER_READ, SERVER_READ = 4_096, 16_384  # bytes read at one go, so that one fast sender delays no other
-UNSENT = 262_144  # bytes that wait for a peer that does not read
-PARTIAL_MS = 2_500  # ms for which a message may stop inside: callers may write slowly
-SILENT_MS = 2_500  # ms without a whole message after which an accepted connection ends: one of no use is owed a close
-# within 3 s
-FEED_PARTIAL_MS = 1_000  # as PARTIAL_MS, of the control feed
-SERVER_PARTIAL_MS = 1_000  # as PARTIAL_MS, of central servers: answers behind it on the connection wait meanwhile
-FEED_CONNECT_MS = 1_500  # ms at most for a connection to the control feed to come up, before another is tried
-IDLE_US = 8_000_000  # us after which a connection from callers on which nothing is owed is closed
-SWEEP_S = 0.1
-READ_FIRST_US = 3_000  # us that a timer may be late before the sockets are read ahead of it
-READ_TURNS = 3  # turns of the loop in which what lies in the sockets is read
-TOLD_S = 5.0  # s between two log lines that hold beliefs against what passed
-LOOK_S = 0.02  # s between two looks at what is owed while the process ends
-LAST_READ_S = 0.06  # s at the end in which connections are still read, so that each is closed with nothing unread
-LAST_LINGER_S = 0.08  # s at the end in which peers may close their sides
-COLLECT_AT = 50_000  # objects between two collections: a call leaves no cycle behind
+OWN_DESCRIPTORS = 24  # of the process itself: streams, loop, listener, control feed, log
+SERVERS_DIVISOR = 4  # one in this many descriptors is reserved for central servers
+CALLER_READ_BYTES, SERVER_READ_BYTES = 4_096, 16_384  # size of one read, so that a fast sender delays no other
+MAX_UNSENT_BYTES = 262_144  # queued for a peer that does not read
+PARTIAL_MS = 2_500  # longest pause within a message: callers may write slowly
+# An accepted connection without a whole message ends after this time: one that sends nothing valid must be closed
+# within 3 s.
+SILENT_MS = 2_500
+FEED_PARTIAL_MS = 1_000  # PARTIAL_MS of the control feed
+SERVER_PARTIAL_MS = 1_000  # PARTIAL_MS of central servers: a slow message delays the answers behind it
+FEED_CONNECT_MS = 1_500  # limit for a connection to the control feed to come up, before another is tried
+IDLE_US = 8_000_000  # time after which a caller's connection on which nothing is owed is closed
+SWEEP_INTERVAL_S = 0.1
+LATE_TIMER_US = 3_000  # delay of a timer above which the sockets are read before it runs
+LATE_TIMER_READS = 3  # loop iterations in which the sockets are read then
+STATUS_LOG_S = 5.0  # interval of the log lines with server status and counts
+SHUTDOWN_POLL_S = 0.02  # interval of the checks for what is still owed during shutdown
+LAST_READ_S = 0.06  # time at the end in which connections are still read, so that each is closed with nothing unread
+LAST_LINGER_S = 0.08  # time at the end in which peers may close their sides
+GC_THRESHOLD = 50_000  # allocations between two collections: calls leave no reference cycles
 
 
 class Bounds(NamedTuple):
-    """What `thorndale.net` holds a set of connections to."""
+    """Limits of a set of connections in `thorndale.net`."""
 
     connections: int
     connect_ms: float
-    unsent_bytes: int = UNSENT
+    unsent_bytes: int = MAX_UNSENT_BYTES
     partial_ms: int = PARTIAL_MS
 
 
 class Shell(SocketActions):
     """Carries bytes between sockets and the core."""
 
-    def __init__(self, loop, path, config, say):
-        self.loop, self.path, self.config, self.say = loop, path, config, say
+    def __init__(self, loop, path, config, log_event):
+        self.loop, self.path, self.config, self.log_event = loop, path, config, log_event
         offset = time.time_ns() // 1000 - now_us()
         self.core = Border(config, Proxy(config.seed, config.settings), self, offset)
-        servers = config.sockets // SERVERS_PART
+        servers = config.sockets // SERVERS_DIVISOR
         connect_ms = config.connect_us / 1000
-        faults = (PlatformError, *central.STREAM_ERRORS)
+        errors = (PlatformError, *central.STREAM_ERRORS)
         self.callers = Tcp(
             loop,
-            Bounds(config.sockets - servers - OWN, connect_ms),
-            self._message,
-            self._left,
-            self.batch,
-            Stream(isup.Framer, faults, CALLER_READ),
-            on_open=self._came,
-            on_full=self._for_room,
+            Bounds(config.sockets - servers - OWN_DESCRIPTORS, connect_ms),
+            self._caller_message,
+            self._caller_lost,
+            self.schedule_flush,
+            Stream(isup.Framer, errors, CALLER_READ_BYTES),
+            on_open=self._caller_opened,
+            on_full=self._eviction_candidate,
             on_end=self._caller_ended,
-            on_unreadable=self._unreadable,
+            on_unreadable=self._caller_unreadable,
             is_needed=self.core.is_needed,
         )
         self.servers = Tcp(
             loop,
             Bounds(servers, connect_ms, partial_ms=SERVER_PARTIAL_MS),
-            self._signal,
-            self._lost,
-            self.batch,
-            Stream(central.Framer, faults, SERVER_READ, "unreached", "spoilt"),
-            on_open=self._opened,
+            self._server_signal,
+            self._server_lost,
+            self.schedule_flush,
+            Stream(central.Framer, errors, SERVER_READ_BYTES, "unreached", "spoilt"),
+            on_open=self._server_opened,
             on_end=self._server_ended,
-            on_progress=self._progress,
+            on_progress=self._server_progress,
         )
-        self.alarm = Alarm(loop, self.core.timers, self._due)
+        self.alarm = Alarm(loop, self.core.timers, self._timers_due)
         self.feed, self.late_us, self.handles = None, 0, {}
 
     def open(self):
-        """Raises OSError where the address cannot be had."""
+        """Raises OSError if the address cannot be listened on."""
         self.core.start(now_us())
-        self.feed = Follower(
+        self.feed = FeedClient(
             self.loop,
             Bounds(4, min(self.config.connect_us / 1000, FEED_CONNECT_MS), partial_ms=FEED_PARTIAL_MS),
             self.config.feed,
             self.config.known[0],
-            self._event,
-            self.batch,
-            self.say,
+            self._server_listed,
+            self.schedule_flush,
+            self.log_event,
         )
         self.callers.listen(*self.config.listen)
-        self.batch()
+        self.schedule_flush()
         self._sweep()
-        self._tell()
+        self._log_status()
 
-    # ---- what the core wants done ----
+    # ---- actions of the core ----
 
     def to_caller(self, connection, data):
         return connection in self.callers.by_hop and self.callers.send(connection, data)
 
     def end_caller(self, connection):
-        self.callers.finish(connection, "what came by it is of no use")
+        self.callers.finish(connection, "an unusable message was received")
 
     def connect(self, host, port):
         return self.servers.connect(host, port)
@@ -123,80 +124,80 @@
     def end_server(self, key):
         connection = self.servers.by_hop.get(key)
         if connection is not None:
-            self.servers.drop(connection, "ended from here")
+            self.servers.drop(connection, "closed by this proxy")
 
     def log(self, event, **fields):
-        self.say("info", event, **fields)
+        self.log_event("info", event, **fields)
 
-    # ---- what happens on the sockets ----
+    # ---- socket events ----
 
     def _caller_ended(self, hop, reason):
-        self.say("info", "connection", did="ended", connection=hop, why=reason)
+        self.log_event("info", "connection", did="ended", connection=hop, why=reason)
 
     def _server_ended(self, hop, reason):
-        self.say("info", "server connection", did="ended", link=hop, why=reason)
+        self.log_event("info", "server connection", did="ended", link=hop, why=reason)
 
-    def _came(self, hop):
+    def _caller_opened(self, hop):
         self.core.caller_opened(now_us(), hop)
 
-    def _unreadable(self, hop):
+    def _caller_unreadable(self, hop):
         self.core.caller_unreadable(now_us(), hop)
 
-    def _progress(self, hop):
+    def _server_progress(self, hop):
         self.core.server_progress(now_us(), hop)
 
-    def _message(self, message, hop):
+    def _caller_message(self, message, hop):
         self.core.caller_message(now_us(), hop, message)
 
-    def _left(self, hop, kind):
+    def _caller_lost(self, hop, kind):
         self.core.caller_lost(now_us(), hop)
 
-    def _for_room(self):
-        """The connection to give up for one more: one that never said anything of use, else the longest idle."""
-        return next(self._give_up(self.core.connections.closable_for_new(now_us())), None)
+    def _eviction_candidate(self):
+        """The connection to close for one more: one that sent no valid message, else the longest idle one."""
+        return next(self._release_quiet(self.core.connections.closable_for_new(now_us())), None)
 
-    def _give_up(self, hops):
-        """Those of these connections from callers on which nothing lies unread or unsent. The core is told before they
-        are given out."""
+    def _release_quiet(self, hops):
+        """Yields those of these callers' connections that hold no unread input and no unsent output, after reporting
+        each as lost to the core."""
         now = now_us()
         for hop in hops:
             if self.callers.is_quiet(hop):
                 self.core.caller_lost(now, hop)
                 yield hop
 
-    def _opened(self, hop):
+    def _server_opened(self, hop):
         self.core.server_opened(now_us(), hop)
-        self.batch()
+        self.schedule_flush()
 
-    def _signal(self, signal, hop):
+    def _server_signal(self, signal, hop):
         self.core.server_signal(now_us(), hop, signal)
 
-    def _lost(self, hop, kind):
+    def _server_lost(self, hop, kind):
         if kind == "spoilt":
-            self.say("warning", "stream spoilt", fault=self.servers.fault)
+            self.log_event("warning", "stream spoilt", fault=self.servers.last_error)
         self.core.server_lost(now_us(), hop, kind)
 
-    def _event(self, event):
+    def _server_listed(self, event):
         self.core.server_list_changed(now_us(), event)
 
-    def batch(self):
-        """What has come is acted on once all that this turn of the loop has read is known: set-ups, their callers'
-        closes and the word that a server is leaving lie side by side after a stand-still, in an order of chance."""
+    def schedule_flush(self):
+        """Flushes the core once all input of this loop iteration has been read. After a stall, set-ups, their callers'
+        closes and the notice that a server is draining are read in random order."""
         if "act" not in self.handles:
-            self.handles["act"] = self.loop.call_soon(self._act)
+            self.handles["act"] = self.loop.call_soon(self._flush)
 
-    def _act(self):
+    def _flush(self):
         del self.handles["act"]
         self.core.flush(now_us())
         self.alarm.arm()
 
     # ---- timers ----
 
-    def _due(self, late, turns=0):
-        """What fell due while bytes lie unread is no time-out: when late, the loop reads first."""
-        self.late_us = max(self.late_us, late)
-        if late > READ_FIRST_US and turns < READ_TURNS:
-            self.handles["read first"] = self.loop.call_soon(self._due, late, turns + 1)
+    def _timers_due(self, late_us, reads=0):
+        """When late, lets the loop read the sockets first: a timer due with its input unread is not a time-out."""
+        self.late_us = max(self.late_us, late_us)
+        if late_us > LATE_TIMER_US and reads < LATE_TIMER_READS:
+            self.handles["read first"] = self.loop.call_soon(self._timers_due, late_us, reads + 1)
             return
         try:
             now = now_us()
@@ -208,16 +209,16 @@
     def _sweep(self):
         self.callers.sweep(SILENT_MS)
         self.servers.sweep()
-        for hop in self._give_up(self.core.connections.idle(now_us(), IDLE_US)):
+        for hop in self._release_quiet(self.core.connections.idle(now_us(), IDLE_US)):
             self.callers.finish(hop, "idle")
-        self.handles["sweep"] = self.loop.call_later(SWEEP_S, self._sweep)
+        self.handles["sweep"] = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def _tell(self):
-        """Beliefs beside what passed, and the counts so far."""
+    def _log_status(self):
+        """Logs the estimated and actual state of each server, and the counts so far."""
         now = now_us()
         for row in server_status_rows(now, self.core):
-            self.say("info", "server", **row)
-        self.say(
+            self.log_event("info", "server", **row)
+        self.log_event(
             "info",
             "counts",
             calls=self.core.count,
@@ -226,52 +227,54 @@
             open=self.core.open_setups(),
             connections=[len(self.callers.by_hop), len(self.servers.by_hop)],
             late_ms=self.late_us // 1000,
-            fault=self.callers.fault,
+            fault=self.callers.last_error,
         )
         self.late_us = 0
-        self.handles["tell"] = self.loop.call_later(TOLD_S, self._tell)
+        self.handles["tell"] = self.loop.call_later(STATUS_LOG_S, self._log_status)
 
     # ---- signals ----
 
     def reload(self):
-        """SIGHUP: the file anew; one that cannot be read leaves the old in force."""
+        """SIGHUP: reads the configuration again; one that cannot be read leaves the old one in force."""
         try:
             config = read_file(self.path)
-        except StartError as fault:
-            self.say("error", "configuration refused, the old one stays", fault=str(fault))
+        except StartError as error:
+            self.log_event("error", "configuration refused, the old one stays", fault=str(error))
             return
         if config.settings != self.config.settings:
-            self.say("warning", "other settings are taken at the next start only")
-        self.feed.move(config.feed, config.known[1])
-        self.say("info", "configuration in force", feed=config.feed)
+            self.log_event("warning", "other settings are taken at the next start only")
+        self.feed.reconfigure(config.feed, config.known[1])
+        self.log_event("info", "configuration in force", feed=config.feed)
 
     async def stop(self):
-        """SIGTERM: what still comes is served or refused, as the core's plan has it; the process ends once nothing is
-        owed, or when the plan is over. Calls that stand go on: their callers tell the next process of them."""
-        self.say("info", "stopping", open=self.core.open_setups(), standing=self.core.established_calls())
+        """SIGTERM: set-ups that still come are served or refused by the core's shutdown plan. The process ends once
+        nothing is owed, or when the plan is over. Answered calls go on; their callers report them to the next
+        process."""
+        self.log_event("info", "stopping", open=self.core.open_setups(), standing=self.core.established_calls())
         self.core.stop(now_us())
         plan = self.core.shutdown
         while not plan.is_over(now_us()):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
             if plan.accepts_setups(now_us()):
                 continue
-            self._finish(self.core.closable_connections(now_us()))
+            self._finish_quiet(self.core.closable_connections(now_us()))
             if not self.core.has_undelivered_answers(now_us()) and self.callers.is_at_rest():
                 break
         self.core.fail_open_setups(now_us())
-        await self.servers.close()  # a release that came now would be answered and told to nobody: it comes again
-        await self._finish_callers()
+        # A release received from now on would be acknowledged and reported to nobody; left unread, it is repeated.
+        await self.servers.close()
+        await self._finish_all_callers()
 
-    def _finish(self, hops):
-        for hop in self._give_up(hops):
+    def _finish_quiet(self, hops):
+        for hop in self._release_quiet(hops):
             self.callers.finish(hop, "the process is ending")
 
-    async def _finish_callers(self):
-        """Ends the connections of callers in order, each with nothing unread on it where its caller pauses at all."""
+    async def _finish_all_callers(self):
+        """Finishes the callers' connections, each with nothing unread on it if its caller pauses at all."""
         end = self.loop.time() + LAST_READ_S
         while self.loop.time() < end and not (self.callers.is_at_rest() and not self.callers.by_hop):
-            self._finish(list(self.callers.by_hop))
-            await asyncio.sleep(LOOK_S / 4)
+            self._finish_quiet(list(self.callers.by_hop))
+            await asyncio.sleep(SHUTDOWN_POLL_S / 4)
         await self.callers.finish_all("the process is ending", LAST_LINGER_S)
 
     async def close(self):
@@ -283,52 +286,52 @@
         await self.callers.close()
 
 
-async def serve(path, config, ready=lambda: None):
-    """Runs a border proxy until it is told to stop. Raises StartError."""
+async def serve(path, config, on_ready=lambda: None):
+    """Runs a border proxy until SIGTERM or SIGINT. Raises StartError."""
     loop = asyncio.get_running_loop()
-    say = Say(config.name)
+    log_event = EventLog(config.name)
     loop.set_exception_handler(
-        lambda _, context: say(
+        lambda _, context: log_event(
             "error",
             "fault in the program",
             fault=repr(context.get("exception") or context.get("message")),
-            where=_where(context.get("exception")),
+            where=_innermost_line(context.get("exception")),
         )
     )
-    shell = Shell(loop, path, config, say)
-    told = asyncio.Event()
+    shell = Shell(loop, path, config, log_event)
+    stop_requested = asyncio.Event()
     loop.add_signal_handler(signals.TOLD_TO_RELOAD, shell.reload)
     for number in signals.TOLD_TO_END:
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     signals.unblock()
     try:
         shell.open()
-    except OSError as fault:
+    except OSError as error:
         await shell.close()
         address = ":".join(map(str, config.listen))
-        raise StartError(f"listen: {address} cannot be opened: {fault.strerror}; is another program there?") from None
-    say("info", "started", listen=config.listen, pid=os.getpid(), limits=config.limits)
+        raise StartError(f"listen: {address} cannot be opened: {error.strerror}; is another program there?") from None
+    log_event("info", "started", listen=config.listen, pid=os.getpid(), limits=config.limits)
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AT)
-    ready()
-    await told.wait()
+    gc.set_threshold(GC_THRESHOLD)
+    on_ready()
+    await stop_requested.wait()
     await shell.stop()
     signals.block()
-    say("info", "stopped", counts=shell.core.count, standing=shell.core.established_calls())
+    log_event("info", "stopped", counts=shell.core.count, standing=shell.core.established_calls())
     await shell.close()
 
 
-def _where(fault):
-    """The innermost line of the program in a fault's traceback."""
-    step, found = getattr(fault, "__traceback__", None), ""
+def _innermost_line(error):
+    """The innermost line of thorndale in an exception's traceback."""
+    step, line = getattr(error, "__traceback__", None), ""
     while step is not None:
-        found = f"{step.tb_frame.f_code.co_filename.rpartition('thorndale/')[2]}:{step.tb_lineno}"
+        line = f"{step.tb_frame.f_code.co_filename.rpartition('thorndale/')[2]}:{step.tb_lineno}"
         step = step.tb_next
-    return found
+    return line
 
 
 def run(path, config):
-    """Runs `serve` on uvloop to its end."""
+    """Runs `serve` on uvloop until it returns."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(path, config))
--- a/thorndale/node/start.py
+++ b/thorndale/node/start.py
@@ -1,4 +1,4 @@
-"""What a border proxy is told by its environment: the configuration's path and text."""
+"""Reads the environment of a border proxy: the configuration's path and text."""
 
 import os
 
@@ -7,7 +7,7 @@
 
 
 class StartError(Exception):
-    """What keeps the border proxy from starting, with what to do."""
+    """Why the border proxy cannot start, with what to do."""
 
 
 def read_file(path):
@@ -15,13 +15,13 @@
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
-    except (OSError, UnicodeDecodeError) as fault:
-        said = getattr(fault, "strerror", None) or "it is not UTF-8"
-        raise StartError(f"GW_CONFIG: {path} cannot be read: {said}; name a file that can") from None
+    except (OSError, UnicodeDecodeError) as error:
+        cause = getattr(error, "strerror", None) or "it is not UTF-8"
+        raise StartError(f"GW_CONFIG: {path} cannot be read: {cause}; name a readable file") from None
     try:
         return read(text)
-    except PlatformError as fault:
-        raise StartError(f"{path}: {fault}; correct the file") from None
+    except PlatformError as error:
+        raise StartError(f"{path}: {error}; correct the file") from None
 
 
 def read_start(environ=os.environ):
--- a/thorndale/signals.py
+++ b/thorndale/signals.py
@@ -1,4 +1,4 @@
-"""The signals that tell a process to end or to read its settings anew, and how it starts and ends while they come."""
+"""Signals that stop a process or reload its settings, blocked while the process has no handlers for them."""
 
 import signal
 
@@ -10,11 +10,11 @@
 
 
 def block():
-    """From now on none of them has any effect until `unblock`. While a process has no handlers, one that came would end
-    it by the signal: before the loop has them, and after it has taken them off as it closes."""
+    """Blocks the signals until `unblock`. Without a handler each of them would kill the process: at the start, before
+    the event loop has its handlers, and at the end, after the loop has removed them on closing."""
     signal.pthread_sigmask(signal.SIG_BLOCK, ALL)
 
 
 def unblock():
-    """The handlers are there: what came since `block` has its effect now."""
+    """Unblocks the signals once handlers are installed; those pending since `block` are delivered now."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, ALL)
