--- a/tests/emulator/test_chains.py
+++ b/tests/emulator/test_chains.py
@@ -125,7 +125,7 @@
             for server_hop in self._proxies():
                 server_hop.door.module = module(7, self._settings())
                 listed = tuple(io.Server(s.number, 0, io.SERVING, 0) for s in server_hop.servers)
-                server_hop.door.tell(io.Servers(listed, True, True))
+                server_hop.door.add_event(io.Servers(listed, True, True))
 
         def _proxies(self):
             hop = self.entrances
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -11,7 +11,7 @@
 
 from thorndale.config.settings import Limits
 from thorndale.net.clock import now_us
-from thorndale.net.ends import Ends
+from thorndale.net.transport import TransportLayer
 from thorndale.sip.transaction import Hop
 from thorndale.standins.ports import reserve_port
 from thorndale.timers import Timers
@@ -46,7 +46,7 @@
 
     async def main():
         loop, core, port = asyncio.get_running_loop(), Core(), reserve_port(host)
-        ends = Ends(loop, msgspec.structs.replace(Limits(), **limits), core)
+        ends = TransportLayer(loop, msgspec.structs.replace(Limits(), **limits), core)
         ends.open([("udp", host, port), ("tcp", host, port)])
         try:
             await test(ends, core, port)
@@ -208,7 +208,7 @@
 
 def test_a_port_in_use_is_named():
     async def test(ends, core, port):
-        other = Ends(asyncio.get_running_loop(), Limits(), Core())
+        other = TransportLayer(asyncio.get_running_loop(), Limits(), Core())
         with pytest.raises(OSError) as caught:
             other.open([("tcp", "127.0.0.1", port)])
         assert caught.value.filename == f"tcp:127.0.0.1:{port}"
--- a/tests/test_without_fleet.py
+++ b/tests/test_without_fleet.py
@@ -6,9 +6,9 @@
 from xxhash import xxh64
 
 from thorndale import interface as io
-from thorndale.door import Door
 from thorndale.emulator.day import Day, S, Trouble
 from thorndale.emulator.fleet import Fleet
+from thorndale.module_host import ModuleHost
 
 EXPECTED_DIGESTS = {
     "cold": "c642e9679f646d4d",
@@ -54,7 +54,7 @@
 
 
 def digest_of(day, monkeypatch):
-    digest, take, count = xxh64(), Door.take, [0]
+    digest, take, count = xxh64(), ModuleHost.take, [0]
 
     def recorded(door, now):
         actions = take(door, now)
@@ -63,7 +63,7 @@
             digest.update(f"{now} {type(action).__name__} {decision(action)}\n".encode())
         return actions
 
-    monkeypatch.setattr(Door, "take", recorded)
+    monkeypatch.setattr(ModuleHost, "take", recorded)
     Fleet(day).run()
     assert count[0] > 5000
     return digest.hexdigest()
--- a/thorndale/call/book.py
+++ b/thorndale/call/book.py
@@ -98,10 +98,10 @@
         ago."""
         if body is None:
             entries = tuple(io.Server(n, self.server_groups[n], io.SERVING, 0) for n in range(len(self.server_groups)))
-            self.border.module_host.tell(io.Servers(entries, True, True))
+            self.border.module_host.add_event(io.Servers(entries, True, True))
         else:
             self.body = body
-            self.border.module_host.tell(io.Servers(self._module_entries(body.servers), True, True))
+            self.border.module_host.add_event(io.Servers(self._module_entries(body.servers), True, True))
 
     def _module_entries(self, servers):
         """The module's entries; a server that is not in the settings is omitted, counted and logged."""
@@ -133,7 +133,7 @@
         else:
             self.counts["gaps"] += 1
             return True
-        self.border.module_host.tell(io.Servers(self._module_entries(body.servers), body.full, False))
+        self.border.module_host.add_event(io.Servers(self._module_entries(body.servers), body.full, False))
         self.save_copy(encode_copy(self.body))
         return False
 
@@ -215,7 +215,7 @@
         self.border.owners.pop(self.token, None)
         self.dialog = None
         self._schedule_retry(now)
-        self.border.module_host.tell(io.ListFailed())
+        self.border.module_host.add_event(io.ListFailed())
 
     def _schedule_retry(self, now, wait=0):
         self.state = "waiting"
--- a/thorndale/call/border.py
+++ b/thorndale/call/border.py
@@ -20,7 +20,7 @@
 from thorndale.call.overload import OverloadControl
 from thorndale.call.sort import CallClassifier, mask_number, mask_numbers
 from thorndale.call.tally import Tally
-from thorndale.door import Door
+from thorndale.module_host import ModuleHost
 from thorndale.records.ledger import Unkept
 from thorndale.sip import message as m
 from thorndale.sip.dialog import hop_of, via_text
@@ -80,7 +80,7 @@
         times = Times(sip.t1_ms * 1000, sip.t2_ms * 1000, sip.t4_ms * 1000, max(sip.t1_ms * 64, 1) * 1000)
         self.ledger, self.mask_caller, self.record_timer = ledger or Unkept(), mask_caller, None
         self.layer = Layer(self.timers, times, settings.limits.transactions, self, self._transmit)
-        self.module_host = Door(build_module(seed, settings))
+        self.module_host = ModuleHost(build_module(seed, settings))
         self.classifier, self.wall_offset_us = CallClassifier(settings, rules), wall_offset_us
         self.overload_control = OverloadControl(settings.limits.lag_ms * 1000, settings.limits.open_calls, times.most)
         self.server_hops = [hop_of(s.uri) for s in settings.servers]
@@ -196,7 +196,7 @@
         else:
             groups = {g.name: n for n, g in enumerate(self.settings.trunk_groups)}
             entries = tuple(io.Server(n, groups[g], io.SERVING, 0) for n, g in enumerate(self.server_groups))
-            self.module_host.tell(io.Servers(entries, True, False))
+            self.module_host.add_event(io.Servers(entries, True, False))
         self.sweep_timer = self.timers.set(now + SWEEP_INTERVAL_US, self, "sweep")
         self.flush(now)
 
@@ -309,7 +309,7 @@
     def due(self, now, name):
         if name == "module":
             self.module_timer = None
-            self.module_host.tell(io.TimerFired(0))
+            self.module_host.add_event(io.TimerFired(0))
         elif name == "records":
             self.record_timer = None
         elif name == "sweep":
@@ -330,7 +330,7 @@
         host = self.module_host
         while host.events:
             snapshot = self.fleet.before(host.events) if self.fleet else ()
-            actions = host.take(now)
+            actions = host.run_batch(now)
             if snapshot:
                 self.fleet.met(now, snapshot)
             for action in actions:
@@ -364,7 +364,7 @@
         self.ledger.flush(now)
         self._arm_record_timer(now)
         for index in self.freed_indices:
-            host.release(index)
+            host.release_index(index)
         self.freed_indices.clear()
 
     def _arm_record_timer(self, now):
@@ -463,7 +463,7 @@
         expires = invite.get("expires")
         if expires.isascii() and expires.isdigit() and len(expires) < 8:
             time_left_us = min(time_left_us, int(expires) * 1_000_000)
-        self.module_host.tell(
+        self.module_host.add_event(
             io.Call(
                 call.index,
                 classified.call_type,
@@ -514,7 +514,7 @@
         """Passes events that result from other proxies' reports to the module."""
         self.now = now
         for event in events:
-            self.module_host.tell(event)
+            self.module_host.add_event(event)
         self.flush(now)
 
     # ---- shutdown ----
--- a/thorndale/call/call.py
+++ b/thorndale/call/call.py
@@ -85,7 +85,7 @@
         self.legs = [Dialog.of_request(invite, f"{token}a", tx.hop), None]
         # (leg, CSeq): the 2xx that waits for its ACK; leg: the Relay of its open re-INVITE
         self.unacked_answers, self.open_reinvites = {}, {}
-        self.index = border.module_host.number(self)
+        self.index = border.module_host.assign_index(self)
         self.refusal, self.last_outcome, self.open_byes = None, -1, 0
         self.received_at, self.answered_at = border.now, 0
         self.module_open = True  # the module has not yet closed the call
@@ -150,7 +150,7 @@
         elapsed = seizure.elapsed(now) if seizure.sent_at else 0
         number, server = seizure.number, seizure.server
         self.seizure_results.append((server, outcome, seizure.sent_at, elapsed))
-        self.border.module_host.tell(
+        self.border.module_host.add_event(
             io.SeizureEnded(self.index, number, server, outcome, wait_us, elapsed, final, report, beyond)
         )
 
@@ -160,9 +160,11 @@
         """Handles a provisional response. A 100 is not forwarded to the caller."""
         report = parse_load_report(message, self.border.load_header, self.border.instances)
         if report is not None:
-            self.border.module_host.tell(io.ServerReport(seizure.server, report, False))
+            self.border.module_host.add_event(io.ServerReport(seizure.server, report, False))
         if message.status == FORWARDED and self.border.chained and seizure.state == "pending":
-            self.border.module_host.tell(io.Forwarded(self.index, seizure.number, seizure.server, seizure.elapsed(now)))
+            self.border.module_host.add_event(
+                io.Forwarded(self.index, seizure.number, seizure.server, seizure.elapsed(now))
+            )
         if message.status > 100 and self.state == "setting up":
             extra = forwarded_fields(message, self.border.load_header)
             extra.append(("Contact", self.border.contact(self.tx.hop)))
@@ -173,8 +175,8 @@
         border = self.border
         report = parse_load_report(message, border.load_header, border.instances)
         if report is not None:
-            border.module_host.tell(io.ServerReport(seizure.server, report, False))
-        border.module_host.tell(io.Answered(self.index, seizure.number, seizure.server, seizure.elapsed(now)))
+            border.module_host.add_event(io.ServerReport(seizure.server, report, False))
+        border.module_host.add_event(io.Answered(self.index, seizure.number, seizure.server, seizure.elapsed(now)))
         self.state, self.answered_at = "established", now
         invite = self.tx.message
         self.legs[SERVER] = dialog
@@ -228,7 +230,7 @@
         if self.state != "setting up":
             return
         self.module_open = False
-        self.border.module_host.tell(io.CallerAbandoned(self.index))
+        self.border.module_host.add_event(io.CallerAbandoned(self.index))
         if self.seizure is not None and self.seizure.state == "pending":
             self.seizure.abandon(now)
             self._report_seizure_end(now, io.CANCELLED, True)
@@ -344,7 +346,7 @@
     def _report_call_end(self, now, outcome):
         self.module_open = False
         elapsed = now - self.answered_at
-        self.border.module_host.tell(
+        self.border.module_host.add_event(
             io.SeizureEnded(self.index, self.seizure_count - 1, self.server, outcome, 0, elapsed, True, None)
         )
 
--- a/thorndale/config/load.py
+++ b/thorndale/config/load.py
@@ -13,10 +13,10 @@
 from thorndale.match.faults import MatchError
 from thorndale.match.rules import Names
 from thorndale.match.rules import load as load_rules
-from thorndale.names import nearest
 from thorndale.sip.dialog import hop_of
 from thorndale.sip.errors import SipError
 from thorndale.sip.headers import is_token, parse_host_port
+from thorndale.spelling import nearest
 
 MAX_FILE = 16 << 20  # bytes
 
--- a/thorndale/config/plans.py
+++ b/thorndale/config/plans.py
@@ -6,8 +6,8 @@
 from msgspec import Meta, Struct, convert
 
 from thorndale.config.load import ConfigError, decoded, load, read_text, shaped
-from thorndale.names import nearest
 from thorndale.sites.planner import Capacity, Load
+from thorndale.spelling import nearest
 
 
 class ServerRoom(Struct, forbid_unknown_fields=True, frozen=True):
--- a/thorndale/daemon/run.py
+++ b/thorndale/daemon/run.py
@@ -15,7 +15,7 @@
 from thorndale.daemon import keep
 from thorndale.daemon.log import open_log
 from thorndale.net.clock import now_us
-from thorndale.net.ends import Ends
+from thorndale.net.transport import TransportLayer
 
 LOOK_S = 0.05  # between two looks whether the last call has ended, once it is told to stop
 COLLECT_US = 60_000_000  # us between two collections of cycles at least
@@ -41,7 +41,7 @@
     except OSError as fault:
         raise StartError(f"log.file: {settings.log.file} cannot be written: {fault.strerror}") from None
     listeners = [listener(text) for text in settings.listen]
-    ends = Ends(loop, settings.limits)
+    ends = TransportLayer(loop, settings.limits)
     copy = settings.book.file if settings.book else ""
     keeper = keep.Keeper(loop, copy, say)
     seed = secrets.randbits(64)
@@ -86,10 +86,10 @@
         close_log()
         raise StartError(f"{fault.filename} cannot be opened: {fault.strerror}; is another program there?") from None
     told = asyncio.Event()
-    for number in signals.TOLD_TO_END:
+    for number in signals.STOP_SIGNALS:
         loop.add_signal_handler(number, told.set)
     again = asyncio.Event()
-    loop.add_signal_handler(signals.TOLD_TO_RELOAD, again.set)
+    loop.add_signal_handler(signals.RELOAD_SIGNAL, again.set)
     signals.unblock()
     heart = loop.create_task(_heart(border))
     reloader = loop.create_task(_reload(again, settings, path, border, say))
--- a/thorndale/emulator/chain.py
+++ b/thorndale/emulator/chain.py
@@ -13,9 +13,9 @@
 from typing import NamedTuple
 
 from thorndale import interface as io
-from thorndale.door import Door
 from thorndale.emulator.day import S, Type
 from thorndale.emulator.settings import RELEASE_US, module_settings
+from thorndale.module_host import ModuleHost
 from thorndale.policy import Proxy
 from thorndale.standins.processor import Processor, Work
 
@@ -140,9 +140,9 @@
 
     def __init__(self, hop, seed, settings, servers):
         self.hop, self.servers = hop, servers
-        self.door = Door(Proxy(seed, settings))
+        self.door = ModuleHost(Proxy(seed, settings))
         listed = tuple(io.Server(s.number, 0, io.SERVING, 0) for s in servers)
-        self.door.tell(io.Servers(listed, True, True))
+        self.door.add_event(io.Servers(listed, True, True))
 
 
 class Chain:
@@ -244,7 +244,7 @@
     # ---- at a proxy ----
 
     def _call(self, leg, left_us):
-        leg.index = leg.proxy.door.number(leg)
+        leg.index = leg.proxy.door.assign_index(leg)
         caller, redial = leg.caller, leg.onward_of is None and leg.caller.tries > 1
         self._tell(leg, io.Call(leg.index, caller.kind, 0, caller.key, int(left_us), 0, redial, False))
         self._after(left_us, self._check_answered, leg)
@@ -255,20 +255,20 @@
 
     def _tell(self, leg, event):
         if leg.index >= 0:
-            leg.proxy.door.tell(event)
+            leg.proxy.door.add_event(event)
             self._flush(leg.proxy)
 
     def _flush(self, proxy):
         door = proxy.door
         while door.events:
-            for action in door.take(self.now):
+            for action in door.run_batch(self.now):
                 if type(action) is io.SetTimer:
                     self._after(max(1, action.at_us - self.now), self._timer, proxy)
                 elif type(action) not in (io.Log, io.SubscribeList):
                     self._act(door.calls[action.call], action)
 
     def _timer(self, proxy):
-        proxy.door.tell(io.TimerFired(0))
+        proxy.door.add_event(io.TimerFired(0))
         self._flush(proxy)
 
     def _act(self, leg, action):
@@ -321,7 +321,7 @@
 
     def _forget(self, leg):
         if leg.index >= 0:
-            leg.proxy.door.release(leg.index)
+            leg.proxy.door.release_index(leg.index)
             leg.index = -1
 
     # ---- at a server ----
@@ -447,5 +447,5 @@
             self._send(self._seen, proxy, server.number, report)
 
     def _seen(self, proxy, number, report):
-        proxy.door.tell(io.ServerReport(number, report, False))
+        proxy.door.add_event(io.ServerReport(number, report, False))
         self._flush(proxy)
--- a/thorndale/emulator/fleet.py
+++ b/thorndale/emulator/fleet.py
@@ -5,11 +5,11 @@
 from typing import NamedTuple
 
 from thorndale import interface as io
-from thorndale.door import Door
 from thorndale.emulator.day import S
 from thorndale.emulator.settings import RELEASE_US, module_settings
 from thorndale.emulator.sharing import Sharing
 from thorndale.emulator.ways import module
+from thorndale.module_host import ModuleHost
 from thorndale.sites.router import SiteRouter
 from thorndale.sites.topology import expand_settings
 from thorndale.standins.processor import Processor, Work
@@ -101,7 +101,7 @@
     __slots__ = ("core", "door", "timer", "weight", "site", "number", "until")
 
     def __init__(self, core, weight, site, number):
-        self.core, self.door, self.timer, self.weight, self.site = core, Door(core), 0, weight, site
+        self.core, self.door, self.timer, self.weight, self.site = core, ModuleHost(core), 0, weight, site
         self.number, self.until = number, 0  # us until which it stands still
 
 
@@ -161,7 +161,7 @@
         if day.unequal:
             weight *= self.chance.choice((0.2, 0.5, 0.5, 1.0, 1.0, 1.0, 3.0))
         host = Host(core, weight, number % len(day.servers), number)
-        host.door.tell(
+        host.door.add_event(
             io.Servers(tuple(io.Server(s.number, s.pool, s.state, s.started) for s in self.servers), True, True)
         )
         host.until = int(day.start_us * self.chance.random())
@@ -203,7 +203,7 @@
         sharing = self.sharing
         while door.events:
             before = sharing.before(host, door.events) if sharing else ()
-            actions = door.take(self.now)
+            actions = door.run_batch(self.now)
             if before:
                 sharing.met(host, before)
             for action in actions:
@@ -219,7 +219,7 @@
                     self._act(host, door.calls[action.call], action, kind)
 
     def _timer(self, host):
-        host.door.tell(io.TimerFired(0))
+        host.door.add_event(io.TimerFired(0))
         self._flush(host)
 
     def _act(self, host, held, action, kind):
@@ -360,7 +360,7 @@
     def _tell(self, held, event):
         if held.index < 0:
             return
-        held.proxy.door.tell(event)
+        held.proxy.door.add_event(event)
         self._flush(held.proxy)
 
     # ---- callers ----
@@ -400,9 +400,11 @@
         if day.policy == "oracle":
             self._oracle(held)
             return
-        held.index = host.door.number(held)
+        held.index = host.door.assign_index(held)
         patience = int(min(kind.guard_us * day.patience, kind.guard_us - (self.now - caller.came)))
-        host.door.tell(io.Call(held.index, caller.kind, 0, caller.key, patience, caller.pool, caller.tries > 1, False))
+        host.door.add_event(
+            io.Call(held.index, caller.kind, 0, caller.key, patience, caller.pool, caller.tries > 1, False)
+        )
         self._after(patience, self._gives_up, held)
         self._flush(host)
 
@@ -428,7 +430,7 @@
 
     def _release(self, held):
         if held.index >= 0:
-            held.proxy.door.release(held.index)
+            held.proxy.door.release_index(held.index)
             held.index = -1
 
     # ---- the oracle: sees every server as it is, and sends to the one with the least wait while that is in time ----
@@ -463,7 +465,7 @@
                 self._after(late, self._seen, host, server.number, report)
 
     def _seen(self, host, number, report):
-        host.door.tell(io.ServerReport(number, report, False))
+        host.door.add_event(io.ServerReport(number, report, False))
         if host.until <= self.now:
             self._flush(host)
 
@@ -475,7 +477,7 @@
             self._after(late + least + (most - least) * self.chance.random(), self._told, host, entry)
 
     def _told(self, host, entry):
-        host.door.tell(io.Servers((entry,), False, False))
+        host.door.add_event(io.Servers((entry,), False, False))
         if host.until <= self.now:
             self._flush(host)
 
--- a/thorndale/emulator/sharing.py
+++ b/thorndale/emulator/sharing.py
@@ -127,7 +127,7 @@
             self.fleet._at(host.until, self._told, n)
             return
         for event in self.shares[n].events():
-            host.door.tell(event)
+            host.door.add_event(event)
         self.fleet._flush(host)
 
     def _arm(self, n):
--- a/thorndale/match/check.py
+++ b/thorndale/match/check.py
@@ -9,7 +9,7 @@
 from thorndale.match.faults import Fault
 from thorndale.match.functions import FUNCTIONS, NAMES, PARTS, units
 from thorndale.match.tree import LIST, NUMBER, SPAN, TEXT, YESNO, Node, Type
-from thorndale.names import nearest
+from thorndale.spelling import nearest
 
 TEXT_MOST = 65_536  # characters that a value may grow to
 STEPS_MOST = 50_000  # steps of one expression; a message's own bounds make a plain one some hundred to thousand
--- a/thorndale/match/rules.py
+++ b/thorndale/match/rules.py
@@ -27,8 +27,8 @@
 from thorndale.match.faults import Fault, MatchError
 from thorndale.match.tree import TEXT, YESNO, Node
 from thorndale.match.walk import Walker
-from thorndale.names import nearest
 from thorndale.sip.headers import is_token
+from thorndale.spelling import nearest
 
 RULES_MOST = 20_000
 ENTRIES_MOST = 200_000  # values of one set or table
--- a/thorndale/door.py
+++ b/thorndale/module_host.py
@@ -6,8 +6,8 @@
 from thorndale import interface as io
 
 
-class Door:
-    """Collects events and passes them to the module in one batch with `take`, which returns the actions."""
+class ModuleHost:
+    """Collects events and passes them to the module in one batch with `run_batch`, which returns the actions."""
 
     def __init__(self, module):
         self.module = module
@@ -17,8 +17,8 @@
         """The number of calls that have an index."""
         return len(self.calls) - len(self.free_indices)
 
-    def number(self, call):
-        """Assigns an index to a call, to be returned with `release`."""
+    def assign_index(self, call):
+        """Assigns an index to a call, to be returned with `release_index`."""
         if self.free_indices:
             index = self.free_indices.pop()
             self.calls[index] = call
@@ -26,14 +26,14 @@
         self.calls.append(call)
         return len(self.calls) - 1
 
-    def release(self, index):
+    def release_index(self, index):
         self.calls[index] = None
         self.free_indices.append(index)
 
-    def tell(self, event):
+    def add_event(self, event):
         self.events.append(event)
 
-    def take(self, now):
+    def run_batch(self, now):
         events, self.events = self.events, []
         return self.module.handle(now, events)
 
--- a/thorndale/net/ends.py
+++ b/thorndale/net/transport.py
@@ -5,11 +5,11 @@
 from thorndale.net.tcp import Tcp
 from thorndale.net.udp import Udp
 
-LATE_TIMER_US = 20_000  # delay of a timer above which the sockets are read before it runs (see `Ends`)
+LATE_TIMER_US = 20_000  # delay of a timer above which the sockets are read before it runs (see `TransportLayer`)
 SWEEP_INTERVAL_S = 1.0
 
 
-class Ends:
+class TransportLayer:
     """Carries bytes between sockets and a core that has `receive(now, data, hop, stream)`, `lost(now, hop, kind)`,
     `run(now, most)`, `flush(now)`, `late(now, us)` and `timers`.
 
--- a/thorndale/node/shell.py
+++ b/thorndale/node/shell.py
@@ -300,8 +300,8 @@
     )
     shell = Shell(loop, path, config, log_event)
     stop_requested = asyncio.Event()
-    loop.add_signal_handler(signals.TOLD_TO_RELOAD, shell.reload)
-    for number in signals.TOLD_TO_END:
+    loop.add_signal_handler(signals.RELOAD_SIGNAL, shell.reload)
+    for number in signals.STOP_SIGNALS:
         loop.add_signal_handler(number, stop_requested.set)
     signals.unblock()
     try:
--- a/thorndale/platform/border.py
+++ b/thorndale/platform/border.py
@@ -12,7 +12,7 @@
 """
 
 from thorndale import interface as io
-from thorndale.door import Door
+from thorndale.module_host import ModuleHost
 from thorndale.platform import central as sip
 from thorndale.platform import isup, outcomes
 from thorndale.platform.callers import CallerConnections
@@ -53,7 +53,7 @@
 class Border:
     def __init__(self, config, module, send, offset):
         self.config, self.send, self.offset = config, send, offset
-        self.decision_host, self.timers = Door(module), Timers()
+        self.decision_host, self.timers = ModuleHost(module), Timers()
         self.connections = CallerConnections()
         self.calls, self.links = {}, {}  # calls by id, being set up or established; links by key
         self.centrals, self.by_index, self.next_index = {}, {}, 0
@@ -103,7 +103,7 @@
                 central.state = io.GONE
                 self._withdraw_unsent(now, central)
         if changes or whole:
-            self.decision_host.tell(io.Servers(tuple(changes), whole, from_disk))
+            self.decision_host.add_event(io.Servers(tuple(changes), whole, from_disk))
         for central in list(self.centrals.values()):
             if central.state == io.GONE:
                 self._server_gone(now, central)
@@ -204,7 +204,7 @@
                 return
             within_us = self.shutdown.allowed_us(now, within_us)
         call = Call(connection, call_id, setup, call_type)
-        call.index = self.decision_host.number(call)
+        call.index = self.decision_host.assign_index(call)
         self.calls[call_id] = connection.setups[call_id] = call
         self._increment("set-ups")
         self._log_call(
@@ -215,7 +215,7 @@
             within_ms=within_us // 1000,
             redial=setup.redial,
         )
-        self.decision_host.tell(
+        self.decision_host.add_event(
             io.Call(
                 call.index,
                 setup.call_type,
@@ -283,7 +283,7 @@
         """Drops a call that is being set up, whose caller needs no further answer."""
         self._log_call(call, "given up", why=why)
         self._finish_call(call)
-        self.decision_host.tell(io.CallerAbandoned(call.index))
+        self.decision_host.add_event(io.CallerAbandoned(call.index))
         if call.seizure is not None:
             self._cancel_seizure(now, call.seizure, io.CANCELLED, True)
         self.finished_calls.append(call)
@@ -426,7 +426,7 @@
         elif signal.method == "NOTIFY" and signal.report and central.uses_reports_of(link):
             report = sip.report(signal.report, self.config.fields)
             central.count("states")
-            self.decision_host.tell(io.ServerReport(central.index, report, False))
+            self.decision_host.add_event(io.ServerReport(central.index, report, False))
 
     def _invite_answered(self, now, link, signal):
         if signal.status < 200:
@@ -477,7 +477,7 @@
             taken=accepted,
             lag_ms=response_us // 1000,
         )
-        self.decision_host.tell(io.Answered(call.index, seizure.number, central.index, response_us))
+        self.decision_host.add_event(io.Answered(call.index, seizure.number, central.index, response_us))
         if seizure.early_cause is not None:
             self._release_to_caller(now, call, seizure.early_cause, None)
         elif not accepted:  # its caller's connection is closing, so the call has no caller
@@ -531,7 +531,7 @@
         central.count("completed" if outcome == io.COMPLETED else "cut")
         self._finish_call(call)
         if call.index >= 0:
-            self.decision_host.tell(
+            self.decision_host.add_event(
                 io.SeizureEnded(call.index, call.seizure_count - 1, central.index, outcome, 0, 0, True, report)
             )
             self.finished_calls.append(call)
@@ -567,7 +567,7 @@
             call, "attempt ended", server=central.name, outcome=outcomes.NAMES[outcome], attempt=seizure.number
         )
         started_at = seizure.requested_at if seizure.sent_at is None else seizure.sent_at
-        self.decision_host.tell(
+        self.decision_host.add_event(
             io.SeizureEnded(call.index, seizure.number, central.index, outcome, 0, now - started_at, final, report)
         )
 
@@ -592,7 +592,7 @@
             self._maintain(now)
             self.timers.set(now + MAINTENANCE_PERIOD_US, self, "maintain")
         else:
-            self.decision_host.tell(io.TimerFired(name))
+            self.decision_host.add_event(io.TimerFired(name))
 
     def run(self, now, most=1 << 30):
         return self.timers.run(now, most)
@@ -600,11 +600,11 @@
     def flush(self, now):
         """Passes events to the module and carries out its actions until there are no further events."""
         while self.decision_host.events:
-            for action in self.decision_host.take(now):
+            for action in self.decision_host.run_batch(now):
                 self._apply_action(now, action)
         for call in self.finished_calls:
             if call.index >= 0 and call.seizure is None:
-                self.decision_host.release(call.index)
+                self.decision_host.release_index(call.index)
                 call.index = -1
         self.finished_calls.clear()
 
--- a/thorndale/signals.py
+++ b/thorndale/signals.py
@@ -2,11 +2,11 @@
 
 import signal
 
-TOLD_TO_END = (signal.SIGTERM, signal.SIGINT)
-TOLD_TO_RELOAD = signal.SIGHUP
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+RELOAD_SIGNAL = signal.SIGHUP
 
 
-ALL = (*TOLD_TO_END, TOLD_TO_RELOAD)
+ALL = (*STOP_SIGNALS, RELOAD_SIGNAL)
 
 
 def block():
--- a/thorndale/standins/agent.py
+++ b/thorndale/standins/agent.py
@@ -1,7 +1,7 @@
 """A user agent for stand-ins: sockets of its own, a transaction layer, and each message shown to the auditor."""
 
 from thorndale.net.clock import now_us
-from thorndale.net.ends import Ends
+from thorndale.net.transport import TransportLayer
 from thorndale.sip import message as m
 from thorndale.sip.errors import SipError
 from thorndale.sip.transaction import Hop, Layer, Times
@@ -21,7 +21,7 @@
         self.mute = False  # takes nothing in and lets nothing out, as a hung process does
 
     def open(self, listeners):
-        self.ends = Ends(self.loop, self.limits, self)
+        self.ends = TransportLayer(self.loop, self.limits, self)
         self.ends.open(listeners)
         self.host, self.port = listeners[0][1], listeners[0][2]
 
