--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -1,4 +1,4 @@
-"""Members in virtual time: nobody held dead for long who is there, nobody thought there who is gone, whatever the links do."""
+"""Membership in virtual time: on faulty links, live members are not declared dead for long and dead ones are detected."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 from thorndale.emulator.gossip import Net, S, sound
 from thorndale.fleet import wire
-from thorndale.fleet.members import ALIVE, DEAD, PERIOD_US, SUSPECT, Members
+from thorndale.fleet.members import ALIVE, DEAD, PROBE_PERIOD_US, SUSPECT, Members
 
 
 def joined(n, **given):
@@ -21,22 +21,22 @@
 
 
 @pytest.mark.parametrize("n", [2, 5, 40])
-def test_all_that_start_in_one_second_know_each_other_and_one_that_dies(n):
+def test_members_started_together_find_each_other_and_detect_a_dead_one(n):
     net, took = joined(n)
     assert took < 12
     sent, at = net.sent, net.now
     net.run(at + 20 * S)
-    assert 1.5 < (net.sent - sent) / n / 20 < 2.5 and net.most < 256  # the same whatever n is
+    assert 1.5 < (net.sent - sent) / n / 20 < 2.5 and net.most < 256  # independent of n
     net.kill(1)
     assert net.until(lambda: net.agreed(set(range(n)) - {1}), 60 * S) < 30
     assert not falsely_dead(net, (1,))
     net.start(1)
-    assert net.until(lambda: net.agreed(range(n)), 60 * S) < 20  # it comes back as another process
+    assert net.until(lambda: net.agreed(range(n)), 60 * S) < 20  # restarted as another process
     assert n == 2 or any(said[3] == "begun anew" and said[2] == 1 for said in net.said)
 
 
 @pytest.mark.parametrize("lose", [0.1, 0.3])
-def test_lost_messages_hold_nobody_dead_for_good(lose):
+def test_after_message_loss_all_members_are_alive_again(lose):
     def link(now, a, b, draw):
         return [] if draw() < lose else sound(now, a, b, draw)
 
@@ -48,7 +48,7 @@
     assert net.until(lambda: net.agreed(range(20)), 30 * S) is not None
 
 
-def test_half_hears_nothing_for_half_a_minute_and_all_is_one_again():
+def test_a_fleet_partitioned_for_half_a_minute_rejoins():
     net, _ = joined(24)
     cut = net.now
 
@@ -62,40 +62,41 @@
     assert net.until(lambda: net.agreed(range(24)), 60 * S) < 25
 
 
-def test_one_that_is_deaf_one_way_keeps_its_place_through_the_others():
+def test_a_member_cut_off_in_one_direction_stays_alive_through_indirect_probes():
     net, _ = joined(12)
     begun = net.now
     net.link = lambda now, a, b, draw: [] if (a, b) == (3, 4) else sound(now, a, b, draw)
     net.run(begun + 60 * S)
     assert not falsely_dead(net)
-    net.link = lambda now, a, b, draw: [] if b == 5 else sound(now, a, b, draw)  # hears nobody, is heard
+    # Member 5 receives nothing, but its messages arrive.
+    net.link = lambda now, a, b, draw: [] if b == 5 else sound(now, a, b, draw)
     net.run(net.now + 60 * S)
-    held = [k for k, view in net.views(set(range(12)) - {5}).items() if not view >= set(range(12)) - {5}]
-    assert not held  # it takes none of those that are there out of the others' sight
+    mistaken = [k for k, view in net.views(set(range(12)) - {5}).items() if not view >= set(range(12)) - {5}]
+    assert not mistaken  # it does not make the others consider live members dead
     net.link = sound
     assert net.until(lambda: net.agreed(range(12)), 60 * S) is not None
 
 
-def test_messages_late_doubled_and_out_of_order_change_nothing():
+def test_late_duplicate_and_reordered_messages_change_nothing():
     def link(now, a, b, draw):
         return [int(draw() * 250_000) for _ in range(1 + (draw() < 0.5))]
 
     net, _ = joined(15, link=link)
     net.run(net.now + 60 * S)
     assert not falsely_dead(net) and net.agreed(range(15))
-    net.link = lambda now, a, b, draw: [3 * S]  # all three seconds late: suspected, not dead for long
+    net.link = lambda now, a, b, draw: [3 * S]  # all three seconds late: members are suspected, but not dead for long
     net.run(net.now + 40 * S)
     net.link = sound
     assert net.until(lambda: net.agreed(range(15)), 30 * S) is not None
 
 
-def test_a_member_that_stood_still_doubts_itself_first():
+def test_a_stalled_member_declares_no_other_dead():
     net, _ = joined(20)
     net.halt(7, 9 * S)
     net.run(net.now + 9 * S)
     said = len(net.said)
     net.run(net.now + 10 * S)
-    assert not [s for s in net.said[said:] if s[1] == 7 and s[3] == "dead"]  # it believes nobody dead
+    assert not [s for s in net.said[said:] if s[1] == 7 and s[3] == "dead"]  # it declares nobody dead
     assert net.up[7].count["late"] and net.until(lambda: net.agreed(range(20)), 30 * S) is not None
 
 
@@ -120,12 +121,12 @@
     net, _ = joined(6)
     net.kill(2)
     net.run(net.now + 5 * S)
-    net.start(2, wall=-3600)  # under what the others know of its former self
+    net.start(2, wall=-3600)  # below the incarnation that the others know
     assert net.until(lambda: net.agreed(range(6)), 30 * S) is not None
     first = net.up[3]
-    net.start(3)  # and the first goes on: both are heard under one name
+    net.start(3)  # the first process goes on: both send under one name
     net.run(net.now + 5 * S)
-    gram = first._gram(wire.PROBE, 1, 0, 0)
+    gram = first._make_datagram(wire.PROBE, 1, 0, 0)
     for k in range(20):
         net._arrive(3, k % 6 if k % 6 != 3 else 0, wire.encode(gram))
         net.run(net.now + S)
@@ -133,28 +134,30 @@
     assert net.until(lambda: net.agreed(range(6)), 30 * S) is not None
 
 
-def test_a_member_that_tells_nonsense_takes_nobody_out():
+def test_a_faulty_reporter_cannot_remove_live_members():
     net, _ = joined(10)
-    liar, rand = net.up[9], random.Random(3)
+    faulty, rand = net.up[9], random.Random(3)
     for _ in range(60):
         news = [
-            wire.News(
+            wire.MembershipUpdate(
                 net.up[0].ids[k],
                 rand.getrandbits(32),
-                liar.incarnation[k] + rand.choice((0, 1, 99, 1 << 50)),
+                faulty.incarnation[k] + rand.choice((0, 1, 99, 1 << 50)),
                 rand.choice((wire.DEAD, wire.SUSPECT, wire.LEFT)),
             )
             for k in rand.sample(range(9), 5)
         ]
-        lie = wire.Gram(wire.VERSION, wire.PROBE, liar.ids[9], liar.born[9], liar.incarnation[9], 7, liar.ids[9], news)
+        false_datagram = wire.Gram(
+            wire.VERSION, wire.PROBE, faulty.ids[9], faulty.born[9], faulty.incarnation[9], 7, faulty.ids[9], news
+        )
         for to in rand.sample(range(9), 3):
-            net._arrive(9, to, wire.encode(lie))
+            net._arrive(9, to, wire.encode(false_datagram))
         net.run(net.now + S)
     assert not falsely_dead(net) and sum(m.count["absurd"] for m in net.up) > 50
     assert all(view >= set(range(9)) for view in net.views(range(9)).values())
 
 
-def test_old_messages_played_again_after_a_restart_change_nothing():
+def test_old_messages_replayed_after_a_restart_change_nothing():
     net, _ = joined(8)
     old = [(to, wire.encode(gram)) for to, gram in net.up[2].leave(net.now)]
     net.kill(2)
@@ -167,33 +170,33 @@
     assert net.agreed(range(8))
 
 
-def test_what_is_said_of_a_member_is_a_table():
-    """Each word on a member in each state: who holds what afterwards."""
+def test_updates_by_state_and_incarnation():
+    """Each reported state on a member in each known state: the state afterwards."""
 
-    def after(known, word, ahead):
-        made = Members(["a", "b", "c"], 0, 1, 0, 11, 1 << 20)
-        made._learn(1, 22, 1 << 20, ALIVE, 1)
+    def after(known, reported, incarnation_lead):
+        members = Members(["a", "b", "c"], 0, 1, 0, 11, 1 << 20)
+        members._apply_update(1, 22, 1 << 20, ALIVE, 1)
         if known != ALIVE:
-            made._learn(1, 22, 1 << 20, known, 1)
-        made._learn(1, 22, (1 << 20) + ahead, word, 2)
-        return made.state[1]
+            members._apply_update(1, 22, 1 << 20, known, 1)
+        members._apply_update(1, 22, (1 << 20) + incarnation_lead, reported, 2)
+        return members.state[1]
 
     for known in (ALIVE, SUSPECT, DEAD):
-        for word in (ALIVE, SUSPECT, DEAD):
-            assert after(known, word, -1) == known  # older: nothing
+        for reported in (ALIVE, SUSPECT, DEAD):
+            assert after(known, reported, -1) == known  # an older incarnation changes nothing
     assert after(SUSPECT, ALIVE, 0) == SUSPECT and after(SUSPECT, ALIVE, 1) == ALIVE and after(DEAD, ALIVE, 1) == ALIVE
     assert after(ALIVE, DEAD, 0) == SUSPECT and after(ALIVE, SUSPECT, 0) == SUSPECT and after(DEAD, SUSPECT, 0) == DEAD
 
 
-def test_a_suspicion_lasts_its_time_however_often_it_is_repeated_and_longer_in_a_larger_fleet():
-    def lasts(n, tellers):
-        made = Members([f"m{k}" for k in range(n)], 0, 1, 0, 1, 1 << 20)
-        made._learn(1, 1, 1 << 20, ALIVE, 1)
-        for k in range(tellers):
-            made._learn(1, 1, 1 << 20, SUSPECT, k + 2)
-        return made.until[1]
+def test_a_suspicion_is_not_shortened_by_repetition_and_lasts_longer_in_a_larger_fleet():
+    def duration(n, reporters):
+        members = Members([f"m{k}" for k in range(n)], 0, 1, 0, 1, 1 << 20)
+        members._apply_update(1, 1, 1 << 20, ALIVE, 1)
+        for k in range(reporters):
+            members._apply_update(1, 1, 1 << 20, SUSPECT, k + 2)
+        return members.suspect_until[1]
 
-    assert lasts(10, 1) == lasts(10, 7) == 6 * PERIOD_US < lasts(228, 1) < 20 * PERIOD_US
+    assert duration(10, 1) == duration(10, 7) == 6 * PROBE_PERIOD_US < duration(228, 1) < 20 * PROBE_PERIOD_US
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00", b"x" * 600, b"\x98\x02" + b"\x00" * 8])
@@ -204,7 +207,7 @@
 
 def test_a_datagram_cut_at_every_byte_and_with_every_byte_changed_is_refused_or_in_bounds():
     net, _ = joined(6)
-    data = wire.encode(net.up[1]._gram(wire.ACK, 5, 1, 0))
+    data = wire.encode(net.up[1]._make_datagram(wire.ACK, 5, 1, 0))
     for n in range(len(data)):
         with pytest.raises(wire.WireError):
             wire.decode(data[:n])
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Members as real processes with a relay between them: cut in halves, one killed, one stopped; and none where none are set."""
+"""Fleets of real processes with a relay between them: partitioned, one killed, one stopped; the log view; and settings."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 HALVES = ["proxy1", "proxy2", "proxy3"], ["proxy4", "proxy5", "proxy6"]
 
 
-def test_a_fleet_of_processes_cut_in_halves_is_one_again(tmp_path):
+def test_a_partitioned_fleet_of_processes_rejoins(tmp_path):
     day = read_day(
         {
             "seconds": 40.0,
@@ -61,7 +61,7 @@
     for n, own in events.items():
         seen = [(e["second"], set(e["alive"]), e["others"]) for e in own if e["event"] == "members"]
         half = next(set(h) for h in HALVES if f"proxy{n}" in h)
-        if n != 6:  # begun anew later: its log goes on, its views before are there too
+        if n != 6:  # restarted later: its log continues, with the earlier views in it
             assert any(
                 alive == half and {m for names in others.values() for m in names} == set(sum(HALVES, [])) - half
                 for _, alive, others in seen
@@ -80,7 +80,7 @@
     return json.dumps({"event": "members", "proxy": proxy, "second": second, "alive": alive, "others": others})
 
 
-def test_the_view_tells_where_proxies_differ_and_since_when():
+def test_the_view_shows_where_proxies_differ_and_since_when():
     lines = [
         member_lines("a", 100, ["a", "b", "c"], {}),
         member_lines("a", 110, ["a", "b"], {"dead": ["c"]}),
@@ -97,7 +97,7 @@
     assert [row for row in differences(found) if row[0] == "c"] == [("c", {"dead": ["a"], "alive": ["b"]}, 110)]
 
 
-def test_the_view_tells_who_holds_rights_and_what_was_refused(tmp_path):
+def test_the_view_shows_leases_held_and_refused(tmp_path):
     def line(proxy, event, **fields):
         return json.dumps({"proxy": proxy, "event": event, **fields})
 
@@ -115,13 +115,13 @@
     found = holdings(lines)
     assert by_server(found) == [("box1", {"a": 2}, ["b"])] and found["a"].counts == counts
     (tmp_path / "a.log").write_text("\n".join(lines) + "\n")
-    told = CliRunner().invoke(app, ["view", str(tmp_path)])
-    assert told.exit_code == 0, told.output
-    assert "9 asked for, 4 given, 5 refused, of these 2 without an answer; most refused at a" in told.output
-    assert "box1: 2 rights, at a; shut by hearsay at 1 (b)" in told.output
+    shown = CliRunner().invoke(app, ["view", str(tmp_path)])
+    assert shown.exit_code == 0, shown.output
+    assert "9 asked for, 4 given, 5 refused, of these 2 without an answer; most refused at a" in shown.output
+    assert "box1: 2 rights, at a; shut by hearsay at 1 (b)" in shown.output
 
 
-def test_wrong_lists_of_members_are_named(tmp_path):
+def test_invalid_member_lists_are_reported(tmp_path):
     with open("examples/proxy.json5") as file:
         text = file.read()
     body = text[text.index("{") + 1 :]
@@ -142,7 +142,7 @@
     assert "301 are more than instances" in faults({"listen": listen, "members": many})
 
 
-def test_a_port_that_is_taken_ends_the_start_with_one_line(tmp_path):
+def test_an_occupied_port_ends_the_start_with_one_line(tmp_path):
     day = read_day(
         {
             "seconds": 1.0,
@@ -185,7 +185,7 @@
     assert ended.returncode == 1 and f"{at} cannot be opened" in ended.stderr and ended.stderr.count("\n") == 1
 
 
-def test_the_platforms_front_and_a_proxy_without_a_list_hold_nothing_of_it():
+def test_the_platform_node_and_a_proxy_without_a_fleet_do_not_load_the_fleet_modules():
     code = (
         "import sys, {}; assert not [m for m in sys.modules if m.startswith('thorndale.fleet') "
         "or m == 'thorndale.daemon.fleet'], sys.modules"
--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_sharing.py
@@ -1,5 +1,6 @@
-"""Small fleets of real processes that fail a part of their set-ups, with faults between the proxies: the retries of all of
-them at each box stay within the design's bound, cut from the sockets; words on a dead box reach those who have not called it."""
+"""Small fleets of real processes in which a share of the set-ups fails, with faults between the proxies. The retries of all
+proxies at each server stay within the bound, as counted at the sockets; failure reports on a dead server reach proxies
+that have not called it."""
 
 import asyncio
 import multiprocessing
@@ -89,7 +90,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name in CASES if name != "a box dies"])
-def test_the_retries_of_all_keep_the_bound_whatever_befalls_their_messages(days, name):
+def test_all_retries_together_keep_the_bound_with_faulty_links(days, name):
     breaks, left, budget, counts, _, passed = days[name]
     assert not breaks and not left and (passed["lost"] or passed["held"] or passed["delivered"])
     for box, (firsts, retries) in budget.items():
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_words.py
@@ -1,4 +1,5 @@
-"""Words on servers: a dead one is known to all after a few losses, a sound one is not talked out of service."""
+"""Peer failure reports: a dead server is known to all after a few losses; false reports do not take a sound one out of
+service."""
 
 import pytest
 
@@ -7,114 +8,115 @@
 from thorndale.emulator.sharing import Between
 from thorndale.fleet import wire
 from thorndale.fleet.wire import Word
-from thorndale.fleet.words import FORGET_US, HALF_US, TELL_US, WEIGHT, WEIGHT_LEAST, Words
+from thorndale.fleet.words import EXPIRY_US, HALF_LIFE_US, MAX_WEIGHT, MIN_WEIGHT, REPORT_INTERVAL_US, PeerReports
 from thorndale.policy import FAILED_LOG_ODDS
 
 IDS, SERVERS = list(range(100, 120)), [7, 8, 9, 10]
 
 
-def word(teller, server=0, age_ms=0, good=False, mark=0):
-    return Word(SERVERS[server], IDS[teller], mark, age_ms, good)
+def report(reporter, server=0, age_ms=0, answered=False, process_start_s=0):
+    return Word(SERVERS[server], IDS[reporter], process_start_s, age_ms, answered)
 
 
-def odds(words, now, server=0):
-    """What the module has been told last of the server."""
-    words.tick(now)
-    return words.known[server].told
+def odds(reports, now, server=0):
+    """The log odds last reported to the module for the server."""
+    reports.tick(now)
+    return reports.states[server].module_odds
 
 
-def test_three_tellers_shut_a_server_and_one_never_does():
-    words = Words(IDS, 0, SERVERS, 1, 0)
+def test_three_reporters_make_a_server_avoided_and_one_never_does():
+    reports = PeerReports(IDS, 0, SERVERS, 1, 0)
     for n in range(30):
-        words.heard(n * S, [word(1)])
-    assert odds(words, 30 * S) <= WEIGHT < FAILED_LOG_ODDS
-    words.heard(30 * S, [word(2)])
-    assert odds(words, 30 * S) < FAILED_LOG_ODDS
-    words.heard(30 * S, [word(3)])
-    assert odds(words, 30 * S) >= FAILED_LOG_ODDS and words.changed[-1][0] == 0
-    assert odds(words, 30 * S + HALF_US) == pytest.approx(odds(words, 30 * S) / 2, rel=0.2)
-    assert odds(words, 31 * S + FORGET_US) == 0 and not words.busy and words.next_at() > 1 << 60
-
-
-def test_an_own_answer_stands_over_all_hearsay_and_lessens_its_tellers():
-    words = Words(IDS, 0, SERVERS, 1, 0)
-    words.heard(S, [word(n) for n in range(1, 9)])
-    assert odds(words, S) >= FAILED_LOG_ODDS
-    words.met(2 * S, 0, True, False, 2 * S)
-    assert odds(words, 2 * S) == 0
-    assert [w.good for w in words.going] == [] and words.weight[IDS[1]][0] == WEIGHT / 2
-    for n in range(3, 30):  # they go on: each time contradicted, until together they shut nothing any more
-        words.heard(n * S, [word(t) for t in range(1, 9)])
-        words.met(n * S + S // 2, 0, True, False, n * S + S // 2)
-    words.heard(30 * S, [word(t) for t in range(1, 9)])
-    assert odds(words, 30 * S) < FAILED_LOG_ODDS / 2 and words.weight[IDS[1]][0] >= WEIGHT_LEAST
-    assert words._weight(30 * S + 5 * FORGET_US, IDS[1]) == WEIGHT  # and are believed again, minutes later
-
-
-def test_anothers_answer_clears_what_was_lost_before_it_and_not_what_came_after():
-    words = Words(IDS, 0, SERVERS, 1, 0)
-    words.heard(5 * S, [word(1, age_ms=4000), word(2, age_ms=3000), word(3, age_ms=100), word(4, age_ms=100)])
-    words.heard(5 * S, [word(5, age_ms=1000, good=True)])
-    assert set(words.known[0].lost) == {IDS[3], IDS[4]}
-
-
-def test_words_are_passed_on_once_and_no_more_once_all_know():
-    words = Words(IDS, 0, SERVERS, 1, 0)
-    words.heard(S, [word(1)])
-    assert [w.teller for w in words.tick(S)] == [IDS[1]]
+        reports.heard(n * S, [report(1)])
+    assert odds(reports, 30 * S) <= MAX_WEIGHT < FAILED_LOG_ODDS
+    reports.heard(30 * S, [report(2)])
+    assert odds(reports, 30 * S) < FAILED_LOG_ODDS
+    reports.heard(30 * S, [report(3)])
+    assert odds(reports, 30 * S) >= FAILED_LOG_ODDS and reports.changed_odds[-1][0] == 0
+    assert odds(reports, 30 * S + HALF_LIFE_US) == pytest.approx(odds(reports, 30 * S) / 2, rel=0.2)
+    assert odds(reports, 31 * S + EXPIRY_US) == 0 and not reports.active and reports.next_at() > 1 << 60
+
+
+def test_an_own_answer_overrides_all_reports_and_lowers_the_reporters_weight():
+    reports = PeerReports(IDS, 0, SERVERS, 1, 0)
+    reports.heard(S, [report(n) for n in range(1, 9)])
+    assert odds(reports, S) >= FAILED_LOG_ODDS
+    reports.record_outcome(2 * S, 0, True, False, 2 * S)
+    assert odds(reports, 2 * S) == 0
+    assert [w.answered for w in reports.outgoing] == [] and reports.reporter_weights[IDS[1]][0] == MAX_WEIGHT / 2
+    for n in range(3, 30):  # contradicted each time, until all together have no effect any more
+        reports.heard(n * S, [report(t) for t in range(1, 9)])
+        reports.record_outcome(n * S + S // 2, 0, True, False, n * S + S // 2)
+    reports.heard(30 * S, [report(t) for t in range(1, 9)])
+    assert odds(reports, 30 * S) < FAILED_LOG_ODDS / 2 and reports.reporter_weights[IDS[1]][0] >= MIN_WEIGHT
+    assert reports._reporter_weight(30 * S + 5 * EXPIRY_US, IDS[1]) == MAX_WEIGHT  # full weight again minutes later
+
+
+def test_an_answer_to_a_peer_clears_earlier_losses_and_not_later_ones():
+    reports = PeerReports(IDS, 0, SERVERS, 1, 0)
+    reports.heard(5 * S, [report(1, age_ms=4000), report(2, age_ms=3000), report(3, age_ms=100), report(4, age_ms=100)])
+    reports.heard(5 * S, [report(5, age_ms=1000, answered=True)])
+    assert set(reports.states[0].losses) == {IDS[3], IDS[4]}
+
+
+def test_reports_are_forwarded_once_and_not_beyond_saturation():
+    reports = PeerReports(IDS, 0, SERVERS, 1, 0)
+    reports.heard(S, [report(1)])
+    assert [w.reporter for w in reports.tick(S)] == [IDS[1]]
     for age in (0, 3, 40):
-        words.heard(S + age * 1000, [word(1, age_ms=max(0, age - 1))])  # the same word on other ways, its age rounded
-    assert words.tick(2 * S) == []
-    words.heard(3 * S, [word(n) for n in range(2, 19)])
-    assert len(words.tick(3 * S)) < 8
-    words.met(3 * S, 0, False, True, 3 * S)
-    assert words.tick(3 * S) == []  # it lost one too, and all know it
+        # The same report on other paths, its age rounded.
+        reports.heard(S + age * 1000, [report(1, age_ms=max(0, age - 1))])
+    assert reports.tick(2 * S) == []
+    reports.heard(3 * S, [report(n) for n in range(2, 19)])
+    assert len(reports.tick(3 * S)) < 8
+    reports.record_outcome(3 * S, 0, False, True, 3 * S)
+    assert reports.tick(3 * S) == []  # an own loss is not reported beyond saturation either
 
 
-def test_what_it_loses_itself_is_told_once_a_second_and_not_where_it_is_itself_to_blame():
-    words = Words(IDS, 0, SERVERS, 1, 0)
+def test_own_losses_are_reported_once_a_second_and_not_if_the_proxy_may_be_at_fault():
+    reports = PeerReports(IDS, 0, SERVERS, 1, 0)
     for server in (1, 2, 3):
-        words.met(S, server, True, False, S)
+        reports.record_outcome(S, server, True, False, S)
     for n in range(10):
-        words.met(S + n * 10_000, 0, False, True, S + n * 10_000)
-    (told,) = words.tick(2 * S)
-    assert (told.server, told.teller, told.good) == (SERVERS[0], IDS[0], False)
-    words.met(2 * S + TELL_US, 0, False, True, 2 * S + TELL_US)
-    assert len(words.tick(4 * S)) == 1
+        reports.record_outcome(S + n * 10_000, 0, False, True, S + n * 10_000)
+    (own_report,) = reports.tick(2 * S)
+    assert (own_report.server, own_report.reporter, own_report.answered) == (SERVERS[0], IDS[0], False)
+    reports.record_outcome(2 * S + REPORT_INTERVAL_US, 0, False, True, 2 * S + REPORT_INTERVAL_US)
+    assert len(reports.tick(4 * S)) == 1
     for server in (1, 2, 3):
-        words.met(5 * S, server, False, True, 5 * S)
-    assert words.count["doubted"] >= 1 and len(words.tick(6 * S)) < 3
+        reports.record_outcome(5 * S, server, False, True, 5 * S)
+    assert reports.count["doubted"] >= 1 and len(reports.tick(6 * S)) < 3
 
 
-def test_a_new_process_voids_what_was_said_of_the_former_one():
-    words = Words(IDS, 0, SERVERS, 1, 0)
-    words.heard(S, [word(n) for n in range(1, 9)])
-    assert odds(words, S) >= FAILED_LOG_ODDS
-    words.began(0, 1000)
-    assert words.known[0].told == 0 and words.changed[-1] == (0, 0.0)
-    words.heard(2 * S, [word(n) for n in range(1, 9)])  # of the former one
-    words.heard(2 * S, [word(1, mark=1001)])  # of this one, a second apart by another's clock
-    assert words.count["void"] == 8 and list(words.known[0].lost) == [IDS[1]]
-    words.heard(2 * S, [Word(99, IDS[1], 0, 0, False), Word(SERVERS[1], 55, 0, 0, False), word(0)])
-    assert not words.known[1].lost  # no such server; no such member; its own
+def test_a_new_process_voids_reports_on_the_previous_one():
+    reports = PeerReports(IDS, 0, SERVERS, 1, 0)
+    reports.heard(S, [report(n) for n in range(1, 9)])
+    assert odds(reports, S) >= FAILED_LOG_ODDS
+    reports.began(0, 1000)
+    assert reports.states[0].module_odds == 0 and reports.changed_odds[-1] == (0, 0.0)
+    reports.heard(2 * S, [report(n) for n in range(1, 9)])  # on the previous process
+    reports.heard(2 * S, [report(1, process_start_s=1001)])  # on this process, a second apart by another proxy's clock
+    assert reports.count["void"] == 8 and list(reports.states[0].losses) == [IDS[1]]
+    reports.heard(2 * S, [Word(99, IDS[1], 0, 0, False), Word(SERVERS[1], 55, 0, 0, False), report(0)])
+    assert not reports.states[1].losses  # unknown server; unknown member; its own report
 
 
-def test_a_server_lost_by_hearsay_is_tried_by_one_of_the_fleet_every_two_seconds():
-    fleet = [Words(IDS, n, SERVERS, n * 977, 0) for n in range(20)]
+def test_a_server_avoided_on_reports_is_tried_by_one_proxy_every_two_seconds():
+    fleet = [PeerReports(IDS, n, SERVERS, n * 977, 0) for n in range(20)]
     trials = 0
-    for words in fleet:
-        words.alive = 20
+    for reports in fleet:
+        reports.present_members = 20
     for tick in range(600):
         now = S + tick * S // 10
         if tick % 20 == 0:
-            for n, words in enumerate(fleet):
-                words.heard(now, [word(t) for t in range(20) if t != n])
-        for words in fleet:
-            words.tick(now)
-            if words.known[0].open_until > now:
+            for n, reports in enumerate(fleet):
+                reports.heard(now, [report(t) for t in range(20) if t != n])
+        for reports in fleet:
+            reports.tick(now)
+            if reports.states[0].trial_until > now:
                 trials += 1
-                words.met(now, 0, False, True, now)
-    assert 15 < trials < 50  # thirty in a minute, drawn
+                reports.record_outcome(now, 0, False, True, now)
+    assert 15 < trials < 50  # thirty expected in a minute, at random
 
 
 def day_of(share, troubles, **given):
@@ -137,12 +139,13 @@
 
 
 def lost(fleet, server, since):
-    """Set-ups that came to a silent server."""
+    """Set-ups sent to the dead server."""
     return sum(fleet.setups[server][since:])
 
 
-def test_a_dead_server_costs_the_fleet_a_few_calls_and_alone_two_a_proxy():
-    dead = (Trouble(15 * S, "killed", servers=frozenset({2}), told=False),)  # refuses; the list goes on naming it
+def test_with_reports_a_dead_server_costs_less_than_half_the_set_ups():
+    # The server refuses set-ups and stays on the server list.
+    dead = (Trouble(15 * S, "killed", servers=frozenset({2}), told=False),)
     found = {}
     for share in ("", "rights words"):
         fleet = Fleet(day_of(share, dead))
@@ -152,18 +155,18 @@
     assert found["rights words"][0] < 0.5 * found[""][0] and found["rights words"][1] > found[""][1] - 0.002, found
 
 
-def test_a_tenth_that_slanders_every_server_costs_nothing_to_speak_of():
+def test_false_reports_by_a_tenth_on_every_server_cost_under_one_percent():
     found = {}
     for liars in (0, 4):
         fleet = Fleet(day_of("rights words", ()))
         sharing = fleet.sharing
 
-        def lie(now, out, sharing=sharing):
-            told = []
-            for to, gram in out:
+        def falsify(now, outgoing, sharing=sharing):
+            falsified = []
+            for to, gram in outgoing:
                 ids = sharing.shares[0].words.servers
-                words = [Word(s, gram.sender, 0, 0, False) for s in ids]
-                told.append(
+                reports = [Word(s, gram.sender, 0, 0, False) for s in ids]
+                falsified.append(
                     (
                         to,
                         wire.Gram(
@@ -176,26 +179,26 @@
                             gram.about,
                             gram.news,
                             gram.rows,
-                            words,
+                            reports,
                         ),
                     )
                 )
-            return told
+            return falsified
 
-        sharing.liars = dict.fromkeys(range(liars), lie)
+        sharing.liars = dict.fromkeys(range(liars), falsify)
         played = fleet.run()
         assert not played.breaks
         found[liars] = played.share()
         if liars:
-            assert max(max(k.told for k in share.words.known) for share in sharing.shares) >= 0
+            assert max(max(k.module_odds for k in share.words.states) for share in sharing.shares) >= 0
     assert found[4] > found[0] - 0.01, found
 
 
-def test_with_everybody_deaf_the_fleet_is_as_one_that_shares_no_words():
+def test_a_fully_partitioned_fleet_performs_like_one_without_reports():
     dead = (Trouble(15 * S, "dark", servers=frozenset({2}), told=False),)
     everybody = frozenset(range(40))
-    deaf = Fleet(day_of("words", dead, between=(Between(0, 99 * S, everybody, everybody),)))
-    played = deaf.run()
-    assert sum(share.words.count["heard"] for share in deaf.sharing.shares) == 0
+    partitioned = Fleet(day_of("words", dead, between=(Between(0, 99 * S, everybody, everybody),)))
+    played = partitioned.run()
+    assert sum(share.words.count["heard"] for share in partitioned.sharing.shares) == 0
     alone = Fleet(day_of("", dead))
     assert played.share() > alone.run().share() - 0.01 and not played.breaks
--- a/thorndale/daemon/__init__.py
+++ b/thorndale/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The running border proxy: puts the packages together, lives and dies in order."""
+"""The border proxy process: assembles the components, and starts and stops them in order."""
--- a/thorndale/daemon/fleet.py
+++ b/thorndale/daemon/fleet.py
@@ -1,5 +1,5 @@
-"""The sockets and the clock round what proxies tell each other: one datagram socket, one timer, log lines at a bounded
-rate. The border tells what this proxy does, and is told what others say."""
+"""I/O of the fleet protocol: one datagram socket, one timer, and log lines at a bounded rate. The border reports this
+proxy's own actions here, and receives events derived from the other proxies' messages."""
 
 import time
 
@@ -11,32 +11,33 @@
 from thorndale.net.clock import now_us
 from thorndale.net.udp import Udp
 
-VIEW_S = 10  # seconds between two log lines on who is there
-SAY_S = 1.0  # seconds between two log lines on bad datagrams
-CHANGES_S = 20  # changes of members that are logged in a second; the rest is counted
+VIEW_PERIOD_S = 10  # between two log lines with the membership view
+BAD_DATAGRAM_LOG_PERIOD_S = 1.0  # between two log lines on bad datagrams
+MAX_CHANGES_PER_S = 20  # membership changes logged per second; the rest is dropped from the log
 
 
-class Talk:
-    """`close()` says goodbye. Raises OSError, `filename` the listener's name, where the socket cannot be opened."""
+class FleetEndpoint:
+    """`close()` announces that this proxy leaves. Raises OSError with the listener's name as `filename` if the socket
+    cannot be opened."""
 
-    def __init__(self, loop, settings, seed, say, border, arm=lambda: None):
-        """`arm()` lets the border's timers be set anew after it was told something."""
+    def __init__(self, loop, settings, seed, log_event, border, arm=lambda: None):
+        """`arm()` reschedules the border's timers after events were delivered to it."""
         fleet = settings.fleet
         names = [m.name for m in fleet.members]
-        self.loop, self.say, self.closed = loop, say, False
-        self.places = [listener(m.at)[1:] for m in fleet.members]
-        self.by_place = {place: n for n, place in enumerate(self.places)}
+        self.loop, self.log_event, self.closed = loop, log_event, False
+        self.member_addresses = [listener(m.at)[1:] for m in fleet.members]
+        self.member_by_address = {address: n for n, address in enumerate(self.member_addresses)}
         self.count = {"sent": 0, "heard": 0, "bytes": 0, "unlisted": 0, "unreadable": 0}
-        self.said_at, self.left_out, self.spoken = 0.0, 0, (0, 0)
-        self.timer, self.view_at = None, time.monotonic() + VIEW_S
+        self.last_complaint_at, self.left_out, self.changes_logged = 0.0, 0, (0, 0)
+        self.timer, self.view_at = None, time.monotonic() + VIEW_PERIOD_S
         _, host, port = listener(fleet.listen)
         try:
-            self.udp = Udp(loop, host, port, self._data, lambda hop: None, self._arm)
-        except OSError as fault:
-            fault.filename = fleet.listen
+            self.udp = Udp(loop, host, port, self._receive, lambda hop: None, self._arm)
+        except OSError as error:
+            error.filename = fleet.listen
             raise
         self.border, self.arm_border, self.server_names = border, arm, [s.name for s in settings.servers]
-        self.share = Share(
+        self.exchange = Share(
             names,
             names.index(settings.name),
             self.server_names,
@@ -48,63 +49,63 @@
             fleet.words,
         )
         self.members, self.module = (
-            self.share.members,
+            self.exchange.members,
             getattr(border.module_host.module, "module", border.module_host.module),
         )
-        self.telling = False
+        self.delivery_scheduled = False
         border.fleet = self
         self._arm()
 
-    # ---- what the border does ----
+    # ---- reports from the border ----
 
     def before(self, events):
         for event in events:
             if type(event) is io.Servers:
                 for entry in event.entries:
                     at = entry.started_us + self.border.wall_offset_us if entry.started_us else 0
-                    self.share.began(entry.server, max(0, at) // 1_000_000)
-        return self.share.before(events, self.module)
+                    self.exchange.began(entry.server, max(0, at) // 1_000_000)
+        return self.exchange.before(events, self.module)
 
     def met(self, now, before):
-        self.share.met(now, before, self.module)
+        self.exchange.met(now, before, self.module)
         self._arm()
 
     def seized(self, now, action):
-        self.share.seized(now, action.server, action.first)
+        self.exchange.seized(now, action.server, action.first)
 
     def ask(self, now, action):
-        self._send(self.share.ask(now, action.call, action.server, action.resume_us))
+        self._send(self.exchange.ask(now, action.call, action.server, action.resume_us))
         self._arm()
 
-    # ---- what others say ----
+    # ---- messages from other proxies ----
 
-    def _data(self, data, hop):
-        sender = self.by_place.get((hop.host, hop.port))
+    def _receive(self, data, hop):
+        sender = self.member_by_address.get((hop.host, hop.port))
         if sender is None:
             self.count["unlisted"] += 1
-            self._complain("unlisted sender", hop)
+            self._log_bad_datagram("unlisted sender", hop)
             return
         try:
             gram = wire.decode(data)
-        except wire.WireError as fault:
+        except wire.WireError as error:
             self.count["unreadable"] += 1
-            self._complain(str(fault), hop)
+            self._log_bad_datagram(str(error), hop)
             return
         self.count["heard"] += 1
-        self._send(self.share.heard(now_us(), gram, sender))
+        self._send(self.exchange.heard(now_us(), gram, sender))
 
-    def _complain(self, reason, hop):
+    def _log_bad_datagram(self, reason, hop):
         now = time.monotonic()
-        if now - self.said_at < SAY_S:
+        if now - self.last_complaint_at < BAD_DATAGRAM_LOG_PERIOD_S:
             self.left_out += 1
             return
-        self.say("warning", "bad datagram", peer=f"{hop.host}:{hop.port}", reason=reason, left_out=self.left_out)
-        self.said_at, self.left_out = now, 0
+        self.log_event("warning", "bad datagram", peer=f"{hop.host}:{hop.port}", reason=reason, left_out=self.left_out)
+        self.last_complaint_at, self.left_out = now, 0
 
-    def _send(self, out):
-        for member, gram in out:
+    def _send(self, outgoing):
+        for member, gram in outgoing:
             data = wire.encode(gram)
-            host, port = self.places[member]
+            host, port = self.member_addresses[member]
             self.udp.sock_send(host, port, data)
             self.count["sent"] += 1
             self.count["bytes"] += len(data)
@@ -114,69 +115,70 @@
             self.timer.cancel()
         if self.closed:
             return
-        self._tell()
-        wait = max(0, self.share.next_at() - now_us()) / 1e6
-        self.timer = self.loop.call_later(wait, self._due)
-
-    def _tell(self):
-        """Hands the border what the module is to be told, from a turn of the loop of its own: the border may be in the
-        midst of what brought it about."""
-        if not self.telling and self.share.waiting():
-            self.telling = True
-            self.loop.call_soon(self._told)
-
-    def _told(self):
-        self.telling = False
+        self._schedule_delivery()
+        delay_s = max(0, self.exchange.next_at() - now_us()) / 1e6
+        self.timer = self.loop.call_later(delay_s, self._on_timer)
+
+    def _schedule_delivery(self):
+        """Schedules the delivery of pending events to the border in a separate iteration of the event loop, because the
+        border may still be processing the action that caused them."""
+        if not self.delivery_scheduled and self.exchange.waiting():
+            self.delivery_scheduled = True
+            self.loop.call_soon(self._deliver_events)
+
+    def _deliver_events(self):
+        self.delivery_scheduled = False
         if not self.closed:
-            self.border.deliver_events(now_us(), self.share.events())
+            self.border.deliver_events(now_us(), self.exchange.events())
             self.arm_border()
             self._arm()
 
-    def _due(self):
+    def _on_timer(self):
         self.timer = None
         now = now_us()
-        if self.share.next_at() <= now:
-            self._send(self.share.tick(now))
-        self._log()
+        if self.exchange.next_at() <= now:
+            self._send(self.exchange.tick(now))
+        self._log_state()
         self._arm()
 
-    def _log(self):
+    def _log_state(self):
         members, second = self.members, int(time.monotonic())
         for _, member, what, why in members.changes:
-            at, said = self.spoken
-            self.spoken = (second, said + 1) if at == second else (second, 1)
-            if self.spoken[1] <= CHANGES_S:
-                self.say("info", "member", member=members.names[member], now=what, why=why)
+            at, logged = self.changes_logged
+            self.changes_logged = (second, logged + 1) if at == second else (second, 1)
+            if self.changes_logged[1] <= MAX_CHANGES_PER_S:
+                self.log_event("info", "member", member=members.names[member], now=what, why=why)
         members.changes.clear()
         if time.monotonic() >= self.view_at:
-            self.view_at += VIEW_S
+            self.view_at += VIEW_PERIOD_S
             self.view()
 
     def view(self):
-        """The log line on who is there as this proxy sees it: those alive, and the others by state."""
-        members, by = self.members, {}
+        """Logs this proxy's view of the membership (members alive, and the others by state), and the state of retry
+        leases and failure reports."""
+        members, names_by_state = self.members, {}
         for member, state in enumerate(members.state):
-            by.setdefault(STATES[state], []).append(members.names[member])
-        self.say(
+            names_by_state.setdefault(STATES[state], []).append(members.names[member])
+        self.log_event(
             "info",
             "members",
             second=int(time.time()),
-            alive=by.pop("alive", []),
-            others=by,
-            slow=members.slow,
+            alive=names_by_state.pop("alive", []),
+            others=names_by_state,
+            slow=members.slowness,
             counts={**self.count, **members.count},
         )
-        named = self.server_names
-        if self.share.rights:
-            held, counts = self.share.rights.view()
-            held = {named[s]: n for s, n in held.items()}
-            self.say("info", "rights", second=int(time.time()), held=held, counts=counts)
-        if self.share.words:
-            shut, counts = self.share.words.view()
-            self.say("info", "words", second=int(time.time()), shut=[named[s] for s in shut], counts=counts)
+        names = self.server_names
+        if self.exchange.rights:
+            held, counts = self.exchange.rights.view()
+            held = {names[s]: n for s, n in held.items()}
+            self.log_event("info", "rights", second=int(time.time()), held=held, counts=counts)
+        if self.exchange.words:
+            shut, counts = self.exchange.words.view()
+            self.log_event("info", "words", second=int(time.time()), shut=[names[s] for s in shut], counts=counts)
 
     def close(self):
-        self._send(self.share.leave(now_us()))
+        self._send(self.exchange.leave(now_us()))
         self.view()
         self.closed = True
         if self.timer is not None:
--- a/thorndale/daemon/keep.py
+++ b/thorndale/daemon/keep.py
@@ -1,4 +1,4 @@
-"""The pool book's copy on disk: replaced as a whole, written off the loop, the newest one wins."""
+"""The pool book's copy on disk: replaced atomically, written off the event loop; only the newest version is kept."""
 
 import asyncio
 import os
@@ -8,67 +8,67 @@
 
 
 def replace(path, data):
-    """Puts `data` in the file's place so that at each moment the old or the new one is there whole."""
-    fresh = f"{path}.new"
-    fd = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    """Replaces the file's content atomically: at each moment the old or the new content is there in full."""
+    new_path = f"{path}.new"
+    descriptor = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
-        view = memoryview(data)
-        while view:
-            view = view[os.write(fd, view) :]
-        os.fsync(fd)
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
+        os.fsync(descriptor)
     finally:
-        os.close(fd)
-    os.replace(fresh, path)
-    folder = os.open(os.path.dirname(os.path.abspath(path)), os.O_RDONLY)
+        os.close(descriptor)
+    os.replace(new_path, path)
+    folder_descriptor = os.open(os.path.dirname(os.path.abspath(path)), os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(folder_descriptor)
     finally:
-        os.close(folder)
+        os.close(folder_descriptor)
 
 
-def read(path, say):
-    """The copy's Body, or None where there is none or it is damaged, which is said."""
+def read(path, log_event):
+    """The copy's Body; None if there is no copy, or if it is damaged, which is logged."""
     if not path or not os.path.exists(path):
         return None
     try:
         with open(path, "rb") as file:
             return decode_copy(file.read())
-    except (OSError, SipError) as fault:
-        say("error", "pool book's copy refused", file=path, reason=str(fault))
+    except (OSError, SipError) as error:
+        log_event("error", "pool book's copy refused", file=path, reason=str(error))
         return None
 
 
-class Keeper:
-    """One task writes; what comes meanwhile replaces what waits."""
+class BookFileWriter:
+    """Writes the file in one task; data that arrives during a write replaces data that is still waiting."""
 
-    def __init__(self, loop, path, say):
-        self.loop, self.path, self.say = loop, path, say
-        self.waiting, self.wake = None, asyncio.Event()
+    def __init__(self, loop, path, log_event):
+        self.loop, self.path, self.log_event = loop, path, log_event
+        self.pending, self.data_ready = None, asyncio.Event()
         self.task = loop.create_task(self._run()) if path else None
 
-    def keep(self, data):
+    def save(self, data):
         if self.task is not None:
-            self.waiting = data
-            self.wake.set()
+            self.pending = data
+            self.data_ready.set()
 
     async def _run(self):
         while True:
-            await self.wake.wait()
-            self.wake.clear()
-            data, self.waiting = self.waiting, None
+            await self.data_ready.wait()
+            self.data_ready.clear()
+            data, self.pending = self.pending, None
             if data is None:
                 continue
             try:
                 await self.loop.run_in_executor(None, replace, self.path, data)
-            except OSError as fault:
-                self.say("error", "pool book's copy not written", file=self.path, reason=str(fault))
+            except OSError as error:
+                self.log_event("error", "pool book's copy not written", file=self.path, reason=str(error))
 
     async def close(self):
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
-            if self.waiting is not None:
+            if self.pending is not None:
                 try:
-                    replace(self.path, self.waiting)
-                except OSError as fault:
-                    self.say("error", "pool book's copy not written", file=self.path, reason=str(fault))
+                    replace(self.path, self.pending)
+                except OSError as error:
+                    self.log_event("error", "pool book's copy not written", file=self.path, reason=str(error))
--- a/thorndale/daemon/run.py
+++ b/thorndale/daemon/run.py
@@ -1,4 +1,4 @@
-"""One border proxy's life: opened in order, run until SIGTERM or SIGINT, emptied, closed in the other order."""
+"""Lifecycle of one border proxy: start in order, run until SIGTERM or SIGINT, drain, close in reverse order."""
 
 import asyncio
 import contextlib
@@ -17,44 +17,53 @@
 from thorndale.net.clock import now_us
 from thorndale.net.transport import TransportLayer
 
-LOOK_S = 0.05  # between two looks whether the last call has ended, once it is told to stop
-COLLECT_US = 60_000_000  # us between two collections of cycles at least
-FAULTS_SAID = 20  # faults of a rules file that one log line lists
-HEART_S = 0.05  # between two looks at the loop's lag, which also holds while no timer is due
+POLL_S = 0.05  # interval at which a stopping proxy checks whether its last call has ended
+GC_INTERVAL_US = 60_000_000  # minimum interval between two cycle collections
+MAX_LOGGED_FAULTS = 20  # errors of a rules file listed in one log line
+LAG_SAMPLE_S = 0.05  # interval at which the event loop's lag is sampled, also while no timer is due
 
 
 class StartError(Exception):
-    """What keeps the daemon from starting, with what to do."""
+    """The daemon cannot start; the message says why and what to do."""
 
 
 async def serve(settings, path, ready=lambda: None, rules=None):
-    """Runs a proxy until it is told to stop; `path` is that of its settings, beside which its rules lie; `rules` where
-    they have been read already.
+    """Runs a proxy until it receives a stop signal. `path` is the settings file; relative paths of rules start at its
+    folder. `rules` are passed in if they have been loaded already.
 
-    Raises StartError before anything is served, ConfigError for rules that are wrong.
+    Raises StartError before anything is served, ConfigError for invalid rules.
     """
     rules = rules or matching(settings, path)
     loop = asyncio.get_running_loop()
-    before = descriptors()  # the loop has some of its own
+    sockets_before = open_sockets()  # the event loop opens some itself
     try:
-        say, close_log = open_log(settings.log, settings.name)
-    except OSError as fault:
-        raise StartError(f"log.file: {settings.log.file} cannot be written: {fault.strerror}") from None
+        log_event, close_log = open_log(settings.log, settings.name)
+    except OSError as error:
+        raise StartError(f"log.file: {settings.log.file} cannot be written: {error.strerror}") from None
     listeners = [listener(text) for text in settings.listen]
     ends = TransportLayer(loop, settings.limits)
-    copy = settings.book.file if settings.book else ""
-    keeper = keep.Keeper(loop, copy, say)
+    book_path = settings.book.file if settings.book else ""
+    book_writer = keep.BookFileWriter(loop, book_path, log_event)
     seed = secrets.randbits(64)
     offset = time.time_ns() // 1000 - now_us()
     try:
-        store, hide = _records(settings, loop, say, offset)
+        store, mask_number = _open_records(settings, loop, log_event, offset)
     except StartError:
         await ends.close()
-        await keeper.close()
+        await book_writer.close()
         close_log()
         raise
     border = Border(
-        settings, rules, seed, listeners, ends.send, say, keeper.keep, offset, store.ledger if store else None, hide
+        settings,
+        rules,
+        seed,
+        listeners,
+        ends.send,
+        log_event,
+        book_writer.save,
+        offset,
+        store.ledger if store else None,
+        mask_number,
     )
     border.wall_us = lambda: time.time_ns() // 1000
     ends.core = border
@@ -68,7 +77,7 @@
         await store.ready()
         store.start_retention(settings.records.keep_days, border.wall_us)
     loop.set_exception_handler(
-        lambda _, context: say(
+        lambda _, context: log_event(
             "error",
             "fault in the program",
             fault=repr(context.get("exception") or context.get("message")),
@@ -77,49 +86,49 @@
     )
     try:
         ends.open(listeners)
-        talk = _talk(settings, loop, seed, say, border, ends.arm)
-    except OSError as fault:
+        fleet_endpoint = _open_fleet(settings, loop, seed, log_event, border, ends.arm)
+    except OSError as error:
         await ends.close()
-        await keeper.close()
+        await book_writer.close()
         if store:
             await store.close()
         close_log()
-        raise StartError(f"{fault.filename} cannot be opened: {fault.strerror}; is another program there?") from None
-    told = asyncio.Event()
+        raise StartError(f"{error.filename} cannot be opened: {error.strerror}; is another program using it?") from None
+    stop_requested = asyncio.Event()
     for number in signals.STOP_SIGNALS:
-        loop.add_signal_handler(number, told.set)
-    again = asyncio.Event()
-    loop.add_signal_handler(signals.RELOAD_SIGNAL, again.set)
+        loop.add_signal_handler(number, stop_requested.set)
+    reload_requested = asyncio.Event()
+    loop.add_signal_handler(signals.RELOAD_SIGNAL, reload_requested.set)
     signals.unblock()
-    heart = loop.create_task(_heart(border))
-    reloader = loop.create_task(_reload(again, settings, path, border, say))
+    lag_monitor = loop.create_task(_monitor_lag(border))
+    reloader = loop.create_task(_reload(reload_requested, settings, path, border, log_event))
     try:
-        border.start(now_us(), keep.read(copy, say))
+        border.start(now_us(), keep.read(book_path, log_event))
         ends.arm()
-        say("info", "started", listen=settings.listen, pid=os.getpid())
+        log_event("info", "started", listen=settings.listen, pid=os.getpid())
         ready()
-        await told.wait()
-        await _stop(settings, border, ends, say)
+        await stop_requested.wait()
+        await _stop(settings, border, ends, log_event)
     finally:
-        for task in (heart, reloader):
+        for task in (lag_monitor, reloader):
             task.cancel()
-        await asyncio.gather(heart, reloader, return_exceptions=True)
+        await asyncio.gather(lag_monitor, reloader, return_exceptions=True)
         if store:
             await store.close()
-        if talk is not None:
-            talk.close()
+        if fleet_endpoint is not None:
+            fleet_endpoint.close()
         border.finish()
         left = border.resources_in_use()
         await ends.close()
-        await keeper.close()
+        await book_writer.close()
         signals.block()
         tasks = len(asyncio.all_tasks()) - 1
-        say(
+        log_event(
             "info",
             "stopped",
             left=left,
             tasks=tasks,
-            descriptors=descriptors() - before,
+            descriptors=open_sockets() - sockets_before,
             counts=dict(border.count),
             book=border.book.counts if border.book else {},
             tcp=ends.tcp.count,
@@ -130,107 +139,109 @@
         close_log()
 
 
-def _talk(settings, loop, seed, say, border, arm):
-    """What speaks with the other proxies, or None where the settings name none: then no datagram goes to them."""
+def _open_fleet(settings, loop, seed, log_event, border, arm):
+    """The fleet endpoint, or None if the settings list no fleet: then no datagram is sent to other proxies."""
     if settings.fleet is None:
         return None
-    from thorndale.daemon.fleet import Talk
+    from thorndale.daemon.fleet import FleetEndpoint
 
-    return Talk(loop, settings, seed, say, border, arm)
+    return FleetEndpoint(loop, settings, seed, log_event, border, arm)
 
 
-def _records(settings, loop, say, offset):
-    """(Store, hide) by the settings; (None, str) where no records are kept. Raises StartError."""
+def _open_records(settings, loop, log_event, offset):
+    """(Store, function that masks a caller's number) from the settings; (None, str) if no records are kept. Raises
+    StartError."""
     if settings.records is None:
         return None, str
-    from thorndale.records.hide import hider  # a proxy that keeps none starts without these
+    from thorndale.records.hide import hider  # loaded only where records are kept
     from thorndale.records.store import StoreError, open_store
 
-    hide = str
+    mask_number = str
     try:
         if settings.records.hash_key_file:
             with open(settings.records.hash_key_file, "rb") as file:
-                hide = hider(file.read().strip())
-        return open_store(settings.records, settings.name, loop, say, now_us(), offset), hide
-    except (OSError, ValueError) as fault:
-        raise StartError(f"records.hash_key_file: {settings.records.hash_key_file}: {fault}") from None
-    except StoreError as fault:
-        raise StartError(str(fault)) from None
+                mask_number = hider(file.read().strip())
+        return open_store(settings.records, settings.name, loop, log_event, now_us(), offset), mask_number
+    except (OSError, ValueError) as error:
+        raise StartError(f"records.hash_key_file: {settings.records.hash_key_file}: {error}") from None
+    except StoreError as error:
+        raise StartError(str(error)) from None
 
 
-async def _heart(border):
-    """Looks at the loop's lag: what a fixed wait takes longer than it should.
+async def _monitor_lag(border):
+    """Samples the event loop's lag: by how much a fixed sleep takes longer than it should.
 
-    Collections of cycles halt the loop for tens of milliseconds with some ten thousand calls open (measured: p99 of
-    the set-up time 55 to 75 ms). A call leaves no cycle behind, so they are left to moments without calls; what a
-    fault in the program may leave waits until then.
+    Also runs cycle collection. With about ten thousand open calls a collection halts the loop for tens of milliseconds
+    (p99 of the set-up time: 55 to 75 ms). A call leaves no cycle behind, so collections run only while no call is
+    open; cycles that a defect in the program leaves wait until then.
     """
     gc.collect()
     gc.freeze()
     gc.disable()
-    collected = now_us()
+    last_collection = now_us()
     while True:
-        if now_us() - collected > COLLECT_US and not len(border.module_host):
+        if now_us() - last_collection > GC_INTERVAL_US and not len(border.module_host):
             gc.collect()
-            collected = now_us()
-        before = now_us()
-        await asyncio.sleep(HEART_S)
+            last_collection = now_us()
+        sleep_started = now_us()
+        await asyncio.sleep(LAG_SAMPLE_S)
         now = now_us()
-        border.record_loop_delay(now, max(0, now - before - int(HEART_S * 1e6)))
+        border.record_loop_delay(now, max(0, now - sleep_started - int(LAG_SAMPLE_S * 1e6)))
 
 
-async def _reload(again, settings, path, border, say):
-    """On SIGHUP: the rules anew, read and checked off the loop, swapped whole; faulty ones leave the old in force."""
+async def _reload(reload_requested, settings, path, border, log_event):
+    """On SIGHUP, loads and checks the rules off the loop and swaps them as a whole. Invalid rules leave the old ones in
+    force."""
     while True:
-        await again.wait()
-        again.clear()
+        await reload_requested.wait()
+        reload_requested.clear()
         try:
             rules = await asyncio.get_running_loop().run_in_executor(None, matching, settings, path)
-        except ConfigError as fault:
-            say(
+        except ConfigError as error:
+            log_event(
                 "error",
                 "rules refused, the old ones stay",
-                file=fault.where,
-                faults=fault.faults[:FAULTS_SAID],
-                count=len(fault.faults),
+                file=error.where,
+                faults=error.faults[:MAX_LOGGED_FAULTS],
+                count=len(error.faults),
             )
             continue
         border.use_rules(rules)
-        say("info", "rules in force", rules=len(rules.rules), file=rules.name)
+        log_event("info", "rules in force", rules=len(rules.rules), file=rules.name)
 
 
-async def _stop(settings, border, ends, say):
-    """No new calls; then what is under way has `calls_ms`, and what is left is released within `quit_ms`."""
-    say("info", "stopping", calls=border.open_calls())
+async def _stop(settings, border, ends, log_event):
+    """Accepts no new calls, lets open calls end within `calls_ms`, and releases the remaining ones within `quit_ms`."""
+    log_event("info", "stopping", calls=border.open_calls())
     border.stop(now_us())
     border.flush(now_us())
     ends.arm()
     end = now_us() + settings.stop.calls_ms * 1000
     while border.open_calls() and now_us() < end:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
     if border.open_calls():
-        say("info", "releasing calls", calls=border.open_calls())
+        log_event("info", "releasing calls", calls=border.open_calls())
         border.close_calls(now_us())
         border.flush(now_us())
         ends.arm()
     end = now_us() + settings.stop.quit_ms * 1000
     while (border.open_calls() or len(border.layer)) and now_us() < end:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
 
 
-def descriptors():
-    """Sockets that this process holds open, or -1 where that cannot be seen."""
-    found = 0
+def open_sockets():
+    """Number of sockets that this process has open, or -1 if /proc cannot be read."""
+    count_open = 0
     try:
         for name in os.listdir("/proc/self/fd"):
             with contextlib.suppress(OSError):
-                found += os.readlink(f"/proc/self/fd/{name}").startswith("socket:")
+                count_open += os.readlink(f"/proc/self/fd/{name}").startswith("socket:")
     except OSError:
         return -1
-    return found
+    return count_open
 
 
 def run(settings, path, rules=None):
-    """Runs `serve` on uvloop to its end."""
+    """Runs `serve` on uvloop until it returns."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(settings, path, rules=rules))
--- a/thorndale/daemon/start.py
+++ b/thorndale/daemon/start.py
@@ -1,4 +1,4 @@
-"""`thorndale run FILE`, without the command line's other commands: what does not serve is not loaded."""
+"""`thorndale run FILE` without the other commands of the command line, so that only the modules it needs are loaded."""
 
 import sys
 
@@ -6,22 +6,22 @@
 from thorndale.daemon.run import StartError, run
 
 
-def shown(fault):
-    """A ConfigError as it is told to whoever called."""
-    return fault.shown or "\n".join(f"{fault.where}: {text}" for text in fault.faults)
+def error_text(error):
+    """The text of a ConfigError for standard error."""
+    return error.shown or "\n".join(f"{error.where}: {text}" for text in error.faults)
 
 
 def main(path):
-    """Runs one border proxy until SIGTERM. Gives the exit code: 1 it could not start, 2 the settings are wrong."""
+    """Runs one border proxy until SIGTERM. Returns the exit code: 0 stopped, 1 could not start, 2 invalid settings."""
     try:
         settings = load(path)
         rules = matching(settings, path)
-    except ConfigError as fault:
-        print(shown(fault), file=sys.stderr)
+    except ConfigError as error:
+        print(error_text(error), file=sys.stderr)
         return 2
     try:
         run(settings, path, rules)
-    except StartError as fault:
-        print(f"{path}: {fault}", file=sys.stderr)
+    except StartError as error:
+        print(f"{path}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/thorndale/fleet/members.py
+++ b/thorndale/fleet/members.py
@@ -1,276 +1,307 @@
-"""Who of the listed members is there: gossip with indirect asking, and suspicion before death.
+"""Membership: which of the listed members are alive, by gossip with indirect probes and suspicion before death.
 
 SWIM (Das, Gupta and Motivala 2002) with two refinements of Lifeguard (Dadgar, Phillips and Currey 2018): a member
-that finds itself slow gives others more time, and whoever is suspected is told with the next message to it. What was
-changed: the members are listed, nobody joins by being heard; a suspicion lasts the same however many repeat it (gossip
-does not tell who has it by themselves, so that repeating counted as sharing and ended it before who was meant could
-answer: seen in the tests); those held dead are asked again now and then, so that a healed link is found from both
-sides; a member that stood still believes nobody dead on what it missed; being told that somebody is dead or has left
-makes a suspect of it and no more, so that who is there can answer first, and a member that tells nonsense takes nobody
-out.
+that finds itself slow gives others more time, and a suspected member is notified with the next message to it.
+Differences from SWIM and Lifeguard:
+- the members are listed; a message from an unlisted process does not make it join;
+- a suspicion lasts the same time however many members repeat it. Gossip does not show who observed a failure
+  independently: repetitions counted as confirmations and ended the suspicion before the suspect could answer;
+- dead members are probed again from time to time, so that a healed link is found from both sides;
+- a member that was stalled declares nobody dead on account of the answers that it missed;
+- a report that a member is dead or has left only makes it a suspect. So a live member can answer first, and a faulty
+  member cannot remove others.
 
-How to call it: `Members(names, own, seed, now, born, incarnation)`; `heard(now, gram, sender)` for each datagram whose
-sender the shell knows by its address, `tick(now)` when `next_at` has come, `leave(now)` at a stop. Each gives
-[(member, Gram)] to be sent. `changes` collects (now, member, what, why) for the log, to be emptied by whoever reads
-them. Times are whole microseconds, members indices into `names`. An incarnation begins at the wall clock's second times
-65,536, so that a process begun anew stands over its former self; one whose clock went back is told so by others, and
-goes over what they know.
+Usage: `Members(names, own, seed, now, boot_id, incarnation)`; call `receive(now, datagram, sender)` for each datagram
+whose sender address is listed, `tick(now)` once `next_at()` has passed, and `leave(now)` at a stop. Each returns
+[(member, Datagram)] to be sent. `changes` collects (now, member, what, why) for the log; the reader empties it. Times
+are integer microseconds, members are indices into `names`. A process's first incarnation is the wall clock's second
+times 65,536, so that a restarted process overrides its predecessor. If its clock went back, the other members' updates
+show a higher incarnation, and it exceeds that one.
 """
 
 from math import log, log2
 
-from thorndale.fleet.wire import ACK, ALIVE, ASK, DEAD, LEFT, NEWS_MOST, PROBE, SUSPECT, VERSION, Gram, News, member_id
+from thorndale.fleet.wire import (
+    ACK,
+    ALIVE,
+    DEAD,
+    INDIRECT_PROBE,
+    LEFT,
+    MAX_UPDATES,
+    PROBE,
+    SUSPECT,
+    VERSION,
+    Gram,
+    MembershipUpdate,
+    member_id,
+)
 
-PERIOD_US = 1_000_000  # us between two probes of a member: SWIM's; one message a second each way
-DIRECT_US = 300_000  # us for an answer before it is asked again and others are asked: a busy core
-TRIES = 2  # periods in which a member gives no answer before it is suspected: a lossy link makes a suspect of few
-ASKED = 3  # times that it is asked in each
-HELPERS = 3  # members that are asked to ask: SWIM's k
-SUSPECT_PERIODS = 6.0  # periods times the logarithm of the fleet that a suspicion lasts: time to hear and to answer
-TOLD_TIMES = 3.0  # times the logarithm of the fleet that a piece of news is passed on: SWIM's lambda
-SLOW_MOST = 8  # most by which one's own slowness stretches the times: Lifeguard's
-HELD_UP_US = 500_000  # us by which a tick is late when this member itself stood still
-AGAIN_PERIODS = 3  # periods between two probes of a member held dead or never heard of
-JOIN_PERIODS, JOIN_PROBES = 15, 4  # periods after a start with so many more probes of members not heard of: then few
-AHEAD_MOST = 86_400 << 16  # by which an incarnation may be ahead of this clock: a day; further is nonsense
-UNKNOWN = 4  # beside the wire's states: nothing heard yet
+PROBE_PERIOD_US = 1_000_000  # SWIM's protocol period; one message a second each way
+PROBE_TIMEOUT_US = 300_000  # until a probe is repeated and sent through others; allows for a busy core
+MAX_FAILED_PERIODS = 2  # periods without an answer; one would suspect many members on a lossy link
+PROBES_PER_PERIOD = 3
+INDIRECT_PROBERS = 3  # members asked for an indirect probe: SWIM's k
+SUSPICION_PERIODS = 6.0  # times log10 of the fleet's size: duration of a suspicion, to learn of it and to refute it
+RETRANSMIT_FACTOR = 3.0  # times log2 of the fleet's size: transmissions of one update, SWIM's lambda
+MAX_SLOWNESS = 8  # limit of Lifeguard's local health score, which stretches the timeouts
+STALL_US = 500_000  # a tick that is later than this shows that this process was stalled
+DEAD_PROBE_PERIODS = 3  # periods between two probes of a dead or unknown member
+JOIN_PERIODS, JOIN_PROBES = 15, 4  # after a start: periods, and extra probes of unknown members in each
+MAX_INCARNATION_LEAD = 86_400 << 16  # incarnations more than a day ahead of this clock are rejected
+UNKNOWN = 4  # local state, not on the wire: no message or update received yet
 STATES = ("alive", "suspect", "dead", "left", "unknown")
 
 
 class Members:
     def __init__(self, names, own, seed, now, born, incarnation):
-        self.names, self.own, self.now, self.chance_state = list(names), own, now, seed & (1 << 64) - 1
+        self.names, self.own, self.now, self.random_state = list(names), own, now, seed & (1 << 64) - 1
         self.ids = [member_id(name) for name in names]
         self.index = {wire: n for n, wire in enumerate(self.ids)}
         n = len(self.names)
         self.state, self.incarnation, self.born = [UNKNOWN] * n, [0] * n, [0] * n
-        self.since = [now] * n  # when the state began
+        self.state_since = [now] * n  # start of the current state
         self.state[own], self.incarnation[own], self.born[own] = ALIVE, incarnation, born
-        self.until = [0] * n  # of a suspicion: its end
-        self.news = {}  # member: times passed on
-        self.turn, self.turn_again = [], []  # whom to probe next
-        self.number, self.slow, self.periods = 0, 0, 0
-        self.probe = None  # (member, number, direct until, period's end)
-        self.tries, self.asked = 0, 0  # periods without an answer of the member probed; times it was asked in this one
-        self.helping = {}  # number of a probe made for another: (who asked, its number, until)
+        self.suspect_until = [0] * n  # end of a suspicion
+        self.news = {}  # member: transmissions of its latest update
+        self.probe_queue, self.reconnect_queue = [], []  # members to probe next: present ones, and dead or unknown ones
+        self.number, self.slowness, self.periods = 0, 0, 0
+        self.probe = None  # (member, number, deadline of the next repetition, end of the period)
+        self.failed_periods, self.probes_sent = 0, 0  # of the probed member; probes in this period
+        self.relayed_probes = {}  # number of a probe sent for another member: (requester, its number, deadline)
         self.changes, self.count = [], {"late": 0, "refuted": 0, "twice": 0, "stale": 0, "absurd": 0, "unlisted": 0}
-        self.began, self.base = now, incarnation
-        self.heard_at = self.asked_at = now
-        self.log = log2(n + 1)
-        self.period_at = now + int(PERIOD_US * self._chance())  # drawn, or all that start at once ask at once
-        self._tell(own)
+        self.started_at, self.first_incarnation = now, incarnation
+        self.last_received_at = self.last_probe_at = now
+        self.log_size = log2(n + 1)
+        # Random, because members started at the same time would otherwise probe at the same time.
+        self.period_at = now + int(PROBE_PERIOD_US * self._random())
+        self._queue_update(own)
 
-    # ---- small things ----
+    # ---- helpers ----
 
-    def _chance(self):
-        self.chance_state = (self.chance_state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
-        return (self.chance_state >> 40) / (1 << 24)
+    def _random(self):
+        self.random_state = (self.random_state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
+        return (self.random_state >> 40) / (1 << 24)
 
-    def _gram(self, kind, number, about, to):
-        """With the news that `to` should hear: first what it is thought of itself, then what was passed on least."""
+    def _make_datagram(self, kind, number, about, to):
+        """A datagram with updates for `to`: first its own state if it is suspected or dead, then the updates with the
+        fewest transmissions."""
         first = [to] if self.state[to] in (SUSPECT, DEAD) else []
-        most = int(TOLD_TIMES * self.log) + 1
+        max_sends = int(RETRANSMIT_FACTOR * self.log_size) + 1
         rest = sorted((m for m in self.news if m not in first), key=lambda m: (self.news[m], self.ids[m] ^ number))
-        chosen = (first + rest)[:NEWS_MOST]
-        for m in chosen:
+        selected = (first + rest)[:MAX_UPDATES]
+        for m in selected:
             if m in self.news:
                 self.news[m] += 1
-                if self.news[m] >= most:
+                if self.news[m] >= max_sends:
                     del self.news[m]
-        news = [News(self.ids[m], self.born[m], self.incarnation[m], self.state[m]) for m in chosen]
+        news = [MembershipUpdate(self.ids[m], self.born[m], self.incarnation[m], self.state[m]) for m in selected]
         own = self.own
         return Gram(VERSION, kind, self.ids[own], self.born[own], self.incarnation[own], number, self.ids[about], news)
 
-    def _tell(self, member):
+    def _queue_update(self, member):
         if self.state[member] != UNKNOWN:
             self.news[member] = 0
 
-    def _set(self, member, state, why):
+    def _set_state(self, member, state, why):
         if self.state[member] != state:
-            self.state[member], self.since[member] = state, self.now
+            self.state[member], self.state_since[member] = state, self.now
             self.changes.append((self.now, member, STATES[state], why))
 
     def alive(self):
-        """Members that are there as far as is known, suspects among them: they may be slow alone."""
+        """Members considered present, including suspects, which may only be slow."""
         return [m for m, state in enumerate(self.state) if state in (ALIVE, SUSPECT)]
 
     def next_at(self):
-        moments = [self.period_at]
+        deadlines = [self.period_at]
         if self.probe is not None and self.probe[2] > 0:
-            moments.append(self.probe[2])
-        moments += [until for m, until in enumerate(self.until) if self.state[m] == SUSPECT]
-        return min(moments)
+            deadlines.append(self.probe[2])
+        deadlines += [until for m, until in enumerate(self.suspect_until) if self.state[m] == SUSPECT]
+        return min(deadlines)
 
-    # ---- what is heard ----
+    # ---- receiving ----
 
     def heard(self, now, gram, sender):
-        """A datagram from listed member `sender`."""
-        self.now = self.heard_at = now
+        """Handles a datagram from listed member `sender`."""
+        self.now = self.last_received_at = now
         if gram.sender != self.ids[sender] or sender == self.own:
             self.count["stale"] += 1
             return []
-        self._learn(sender, gram.born, gram.incarnation, ALIVE, sender)
-        for piece in gram.news:
-            member = self.index.get(piece.member)
+        self._apply_update(sender, gram.born, gram.incarnation, ALIVE, sender)
+        for update in gram.news:
+            member = self.index.get(update.member)
             if member is None:
                 self.count["unlisted"] += 1
             else:
-                self._learn(member, piece.born, piece.incarnation, piece.state, sender)
-        if gram.kind > ASK:  # of rights or servers: that it speaks is all there is to learn here
+                self._apply_update(member, update.born, update.incarnation, update.state, sender)
+        if gram.kind > INDIRECT_PROBE:  # lease messages and failure reports only show that the sender is alive
             return []
         if gram.kind == PROBE:
-            return [(sender, self._gram(ACK, gram.number, self.own, sender))]
-        if gram.kind == ASK:
+            return [(sender, self._make_datagram(ACK, gram.number, self.own, sender))]
+        if gram.kind == INDIRECT_PROBE:
             about = self.index.get(gram.about)
             if about is None or about in (self.own, sender):
                 return []
             self.number += 1
-            self.helping[self.number] = (sender, gram.number, now + PERIOD_US)
-            return [(about, self._gram(PROBE, self.number, about, about))]
-        if gram.number in self.helping:  # an ACK
-            asker, number, _ = self.helping.pop(gram.number)
-            return [(asker, self._gram(ACK, number, sender, asker))]
+            self.relayed_probes[self.number] = (sender, gram.number, now + PROBE_PERIOD_US)
+            return [(about, self._make_datagram(PROBE, self.number, about, about))]
+        if gram.number in self.relayed_probes:  # an ACK
+            requester, number, _ = self.relayed_probes.pop(gram.number)
+            return [(requester, self._make_datagram(ACK, number, sender, requester))]
         if self.probe is not None and gram.number == self.probe[1] and gram.about == self.ids[self.probe[0]]:
-            self.probe = (self.probe[0], self.probe[1], -1, self.probe[3])  # answered
-            self.slow = max(0, self.slow - 1)
+            self.probe = (self.probe[0], self.probe[1], -1, self.probe[3])  # a negative deadline marks it as answered
+            self.slowness = max(0, self.slowness - 1)
         return []
 
-    def _learn(self, member, born, incarnation, state, teller):
-        """A word on a member. The higher incarnation holds; within one a worse state does. A word on this very member
-        that is not its own is answered by a higher incarnation, whoever said it."""
-        if incarnation > self.base + ((self.now - self.began) * 65_536 // 1_000_000) + AHEAD_MOST:
+    def _apply_update(self, member, born, incarnation, state, reporter):
+        """Applies an update on a member. The higher incarnation wins, within one incarnation the worse state. An update
+        on this member itself that is not its own is refuted with a higher incarnation, whoever sent it."""
+        if (
+            incarnation
+            > self.first_incarnation + ((self.now - self.started_at) * 65_536 // 1_000_000) + MAX_INCARNATION_LEAD
+        ):
             self.count["absurd"] += 1
             return
         if member == self.own:
-            mine = self.incarnation[member]
-            if incarnation > mine or (incarnation == mine and (state != ALIVE or born != self.born[member])):
+            own_incarnation = self.incarnation[member]
+            if incarnation > own_incarnation or (
+                incarnation == own_incarnation and (state != ALIVE or born != self.born[member])
+            ):
                 self.incarnation[member] = incarnation + 1
                 self.count["refuted" if born == self.born[member] else "twice"] += 1
                 if born != self.born[member] and state == ALIVE:
-                    self.changes.append((self.now, member, "named twice or begun anew", self.names[teller]))
-                self._tell(member)
+                    self.changes.append((self.now, member, "named twice or begun anew", self.names[reporter]))
+                self._queue_update(member)
             return
-        known = self.incarnation[member]
-        direct = teller == member
+        known_incarnation = self.incarnation[member]
+        direct = reporter == member
         if state in (DEAD, LEFT) and not direct and self.state[member] not in (DEAD, LEFT, UNKNOWN):
             state = SUSPECT
-        if incarnation < known or (incarnation == known and not self._worse(member, state)):
-            if direct and incarnation < known:
-                self._tell(member)  # it does not know yet what is said of it
+        if incarnation < known_incarnation or (incarnation == known_incarnation and not self._overrides(member, state)):
+            if direct and incarnation < known_incarnation:
+                self._queue_update(member)  # it has not received the update on itself yet
             return
         if self.born[member] and born != self.born[member] and state == ALIVE:
-            self.changes.append((self.now, member, "begun anew", self.names[teller]))
+            self.changes.append((self.now, member, "begun anew", self.names[reporter]))
         self.incarnation[member], self.born[member] = incarnation, born
         if state == SUSPECT:
-            self._suspect(member, teller, "told")
+            self._start_suspicion(member, reporter, "reported")
         else:
-            self._set(member, state, "heard" if direct else f"told by {self.names[teller]}")
-        self._tell(member)
+            self._set_state(member, state, "message received" if direct else f"reported by {self.names[reporter]}")
+        self._queue_update(member)
 
-    def _worse(self, member, state):
+    def _overrides(self, member, state):
         order = {UNKNOWN: -1, ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3}
         return order[state] > order[self.state[member]]
 
     # ---- suspicion ----
 
-    def _span(self):
-        return int(SUSPECT_PERIODS * max(1.0, log(len(self.names), 10)) * PERIOD_US)
+    def _suspicion_us(self):
+        return int(SUSPICION_PERIODS * max(1.0, log(len(self.names), 10)) * PROBE_PERIOD_US)
 
-    def _suspect(self, member, teller, why):
-        self._set(member, SUSPECT, why if why != "told" else f"told by {self.names[teller]}")
-        self.until[member] = self.now + self._span()
-        self._tell(member)
+    def _start_suspicion(self, member, reporter, why):
+        self._set_state(member, SUSPECT, why if why != "reported" else f"reported by {self.names[reporter]}")
+        self.suspect_until[member] = self.now + self._suspicion_us()
+        self._queue_update(member)
 
-    # ---- what falls due ----
+    # ---- timers ----
 
     def tick(self, now):
         late, self.now = now - self.next_at(), now
-        held_up = late > HELD_UP_US
-        if held_up:  # what was not answered meanwhile says nothing; what is suspected gets its time anew
+        stalled = late > STALL_US
+        if stalled:  # missing answers prove nothing after a stall: void the probe, restart all suspicions
             self.count["late"] += 1
-            self.slow = min(SLOW_MOST, self.slow + 1)
+            self.slowness = min(MAX_SLOWNESS, self.slowness + 1)
             self.probe = None
             for member, state in enumerate(self.state):
                 if state == SUSPECT:
-                    self.until[member] = max(self.until[member], now + self._span())
-        out = []
+                    self.suspect_until[member] = max(self.suspect_until[member], now + self._suspicion_us())
+        outgoing = []
         for member, state in enumerate(self.state):
-            if state == SUSPECT and self.until[member] <= now:
-                self._set(member, DEAD, "suspected without a word")
-                self._tell(member)
+            if state == SUSPECT and self.suspect_until[member] <= now:
+                self._set_state(member, DEAD, "suspicion not refuted")
+                self._queue_update(member)
         if self.probe is not None and 0 < self.probe[2] <= now:
-            out += self._ask_again()
+            outgoing += self._retry_probe()
         if now >= self.period_at:
-            out += self._period()
-        return out
+            outgoing += self._end_period()
+        return outgoing
 
-    def _ask_again(self):
-        """No answer yet: asked once more, and the first time through others too."""
-        member, number, until, end = self.probe
-        self.asked += 1
-        self.probe = (member, number, until + DIRECT_US if self.asked < ASKED else 0, end)
-        out = [(member, self._gram(PROBE, number, member, member))]
+    def _retry_probe(self):
+        """Repeats an unanswered probe, the first time also through other members."""
+        member, number, deadline, period_end = self.probe
+        self.probes_sent += 1
+        self.probe = (
+            member,
+            number,
+            deadline + PROBE_TIMEOUT_US if self.probes_sent < PROBES_PER_PERIOD else 0,
+            period_end,
+        )
+        outgoing = [(member, self._make_datagram(PROBE, number, member, member))]
         helpers = [m for m in self.alive() if m not in (member, self.own)]
-        for _ in range(min(HELPERS, len(helpers)) if self.asked == 2 else 0):
-            helper = helpers.pop(int(self._chance() * len(helpers)))
-            out.append((helper, self._gram(ASK, number, member, helper)))
-        return out
+        for _ in range(min(INDIRECT_PROBERS, len(helpers)) if self.probes_sent == 2 else 0):
+            helper = helpers.pop(int(self._random() * len(helpers)))
+            outgoing.append((helper, self._make_datagram(INDIRECT_PROBE, number, member, helper)))
+        return outgoing
 
-    def _period(self):
-        """The end of one period: the probe that has no answer, and the next."""
+    def _end_period(self):
+        """Ends a period: evaluates an unanswered probe and sends the next one."""
         if self.probe is not None and self.probe[2] >= 0:
             member = self.probe[0]
-            if self.heard_at < self.asked_at:  # nobody was heard since: it may be this member's own fault
-                self.slow = min(SLOW_MOST, self.slow + 1)
-            self.tries += 1
-            if self.state[member] == ALIVE and self.tries >= TRIES:
-                self._suspect(member, self.own, "no answer")
-        again = self.probe[0] if self.probe is not None and self.probe[2] >= 0 and self.tries < TRIES else -1
+            if self.last_received_at < self.last_probe_at:  # nothing received from anyone: this member may be slow
+                self.slowness = min(MAX_SLOWNESS, self.slowness + 1)
+            self.failed_periods += 1
+            if self.state[member] == ALIVE and self.failed_periods >= MAX_FAILED_PERIODS:
+                self._start_suspicion(member, self.own, "no answer")
+        retry_member = (
+            self.probe[0]
+            if self.probe is not None and self.probe[2] >= 0 and self.failed_periods < MAX_FAILED_PERIODS
+            else -1
+        )
         self.probe = None
-        self.helping = {n: h for n, h in self.helping.items() if h[2] > self.now}
-        stretch = 1 + self.slow / 2
-        self.period_at = self.now + int(PERIOD_US * stretch * (0.9 + 0.2 * self._chance()))
+        self.relayed_probes = {n: relayed for n, relayed in self.relayed_probes.items() if relayed[2] > self.now}
+        timeout_factor = 1 + self.slowness / 2
+        self.period_at = self.now + int(PROBE_PERIOD_US * timeout_factor * (0.9 + 0.2 * self._random()))
         self.periods += 1
-        out = []
-        member = again
-        if again < 0 or self.state[again] != ALIVE:
-            member, self.tries = self._next("turn", (ALIVE, SUSPECT)), 0
+        outgoing = []
+        member = retry_member
+        if retry_member < 0 or self.state[retry_member] != ALIVE:
+            member, self.failed_periods = self._next_target("probe_queue", (ALIVE, SUSPECT)), 0
         if member >= 0:
             self.number += 1
-            self.probe = (member, self.number, self.now + int(DIRECT_US * stretch), self.period_at)
-            self.asked_at, self.asked = self.now, 1
-            out.append((member, self._gram(PROBE, self.number, member, member)))
+            self.probe = (member, self.number, self.now + int(PROBE_TIMEOUT_US * timeout_factor), self.period_at)
+            self.last_probe_at, self.probes_sent = self.now, 1
+            outgoing.append((member, self._make_datagram(PROBE, self.number, member, member)))
         joining = self.periods <= JOIN_PERIODS
-        for _ in range(JOIN_PROBES if joining else self.periods % AGAIN_PERIODS == 0):
-            other = self._next("turn_again", (UNKNOWN,) if joining else (DEAD, UNKNOWN))
+        for _ in range(JOIN_PROBES if joining else self.periods % DEAD_PROBE_PERIODS == 0):
+            other = self._next_target("reconnect_queue", (UNKNOWN,) if joining else (DEAD, UNKNOWN))
             if other >= 0:
                 self.number += 1
-                out.append((other, self._gram(PROBE, self.number, other, other)))
-        return out
+                outgoing.append((other, self._make_datagram(PROBE, self.number, other, other)))
+        return outgoing
 
-    def _next(self, turns, states):
-        """The next member in these states, each once a round, rounds in drawn orders; -1: none."""
+    def _next_target(self, queue_name, states):
+        """The next member in one of `states`: each once per round, rounds in random order; -1 if there is none."""
         for _ in range(2):
-            row = getattr(self, turns)
-            while row:
-                member = row.pop()
+            queue = getattr(self, queue_name)
+            while queue:
+                member = queue.pop()
                 if member != self.own and self.state[member] in states:
                     return member
-            row = [m for m, state in enumerate(self.state) if m != self.own and state in states]
-            for n in range(len(row) - 1, 0, -1):
-                other = int(self._chance() * (n + 1))
-                row[n], row[other] = row[other], row[n]
-            setattr(self, turns, row)
+            queue = [m for m, state in enumerate(self.state) if m != self.own and state in states]
+            for n in range(len(queue) - 1, 0, -1):
+                other = int(self._random() * (n + 1))
+                queue[n], queue[other] = queue[other], queue[n]
+            setattr(self, queue_name, queue)
         return -1
 
     def leave(self, now):
-        """Says goodbye to a few; the others hear of it from them."""
+        """Announces to a few members that this one leaves; gossip reaches the others."""
         self.now = now
         self.state[self.own] = LEFT
-        self._tell(self.own)
+        self._queue_update(self.own)
         others = [m for m in self.alive() if m != self.own]
-        out = []
-        for _ in range(min(HELPERS, len(others))):
-            member = others.pop(int(self._chance() * len(others)))
-            out.append((member, self._gram(PROBE, 0, member, member)))
-        return out
+        outgoing = []
+        for _ in range(min(INDIRECT_PROBERS, len(others))):
+            member = others.pop(int(self._random() * len(others)))
+            outgoing.append((member, self._make_datagram(PROBE, 0, member, member)))
+        return outgoing
--- a/thorndale/fleet/rights.py
+++ b/thorndale/fleet/rights.py
@@ -1,27 +1,26 @@
-"""Retries that the whole fleet may send to one server: rights that are moved, never made.
-
-The design's budget (10% of the first set-ups of 10 s, and never less than 3) holds at each proxy by itself; the sum
-over hundreds of floors is far over it. Here the same bound is kept by the sum. A first set-up earns one unit at its
-proxy; a retry takes ten units that were earned in the window. Each unit stands at one member at a time: its proxy
-sends it to the server's steward and has it no more, lost on the way or not. The steward answers those who ask. Built
-on the escrow method (O'Neil 1986) and bounded counters (Balegas et al. 2015); who is steward goes by rendezvous
-(Thaler and Ravishankar 1998).
-
-Why the sum holds, whoever hears whom (docs/fleet.md has it in full):
-- a unit is counted as of a moment that is surely not after it was earned: the proxy turns it into the steward's clock
-  by the last stamp heard from there, which can only make it older;
-- a grant counts from when it is given until a window after the last moment at which it may be used, a lease that ends
-  by the holder's clock at the latest when the steward thinks so; units count only while they are still in the window
-  then;
-- the floor belongs to one member, named by the list alone. All others leave as many units unused as it is worth, so
-  that max(3, a tenth) holds for the sum: keeper max(3, a/10) and others (b - 30)/10 at most are never over max(3,
-  (a+b)/10).
-
-How to call it: `Rights(ids, own, servers, seed, now)`; `first(now, server)` for each first set-up that goes out,
-`ask(now, call, server, resume)` for a retry, `heard(now, gram, sender)`, `tick(now)` when `next_at()` has come. The
-last three add to `out` [(member, kind, about, number, rows)], and to `told` [(call, until)]: until when the retry may
-go, 0 for not at all. `there(member)` says whether a member is held to be there. Times are whole microseconds of this
-process's clock.
+"""Retry leases: the retry budget of one server, kept over the whole fleet. Units of budget are moved, never created.
+
+Each proxy's own budget (10% of the first set-ups of 10 s, and at least 3 retries, the floor) does not bound the sum:
+with hundreds of proxies the floors alone exceed it. Here the sum keeps that bound. A first set-up earns one unit at its
+proxy; a retry uses ten units that were earned in the window. Each unit is held by one member at a time: its proxy sends
+it to the server's lease coordinator and deletes its own copy, whether or not the message arrives. The coordinator
+answers lease requests. Based on the escrow method (O'Neil 1986) and bounded counters (Balegas et al. 2015); the
+coordinator is chosen by rendezvous hashing (Thaler and Ravishankar 1998).
+
+Why the sum holds whatever messages are lost (in full in docs/fleet.md):
+- a unit counts from a moment that is never after it was earned. The proxy converts that moment to the coordinator's
+  clock with the last clock stamp received from there, which can only make the unit older;
+- a lease counts from its grant until one window after the last moment at which it may be used. By the holder's clock a
+  lease ends no later than by the coordinator's. Units count only if they are still in the window at that last moment;
+- the floor belongs to one member, which the list alone determines. All others leave as many units unused as the floor
+  is worth, so that max(3, a tenth) holds for the sum: the floor owner's max(3, a/10) and the others' (b - 30)/10
+  together are at most max(3, (a+b)/10).
+
+Usage: `RetryLeases(ids, own, servers, seed, now, boot_id, is_present)`; `add_first_setup(now, server)` for each first
+set-up that is sent, `request_lease(now, call, server, resume)` for a retry, `receive(now, datagram, sender)`, and
+`tick(now)` once `next_at()` has passed. The last three add to `outbox` [(member, kind, about, number, rows)] and to
+`decisions` [(call, until)]: the last moment at which the retry may be sent, 0 if it may not. `is_present(member)` tells
+whether a member counts as present. Times are integer microseconds of this process's clock.
 """
 
 from collections import deque
@@ -29,289 +28,306 @@
 
 from xxhash import xxh64_intdigest
 
-from thorndale.fleet.wire import GIVE, ROWS_MOST, STAMP, UNITS, WANT, Row
+from thorndale.fleet.wire import CLOCK_STAMP, EARNED_UNITS, LEASE_REPLY, LEASE_REQUEST, MAX_ROWS, LeaseRow
 from thorndale.policy import RETRY_FLOOR, RETRY_SHARE, SLOT_US, SLOTS
 
-WINDOW_US = SLOTS * SLOT_US  # us, the design's window
-STEP_US = 250_000  # us of the steps in which units are kept: a fortieth of the window is what rounding takes
-SLACK_US = 100_000  # us past its moment at which a retry still goes: a busy core, the way, clocks that drift by 1%
-LEASE_MOST_US = 3_000_000  # us from the asking to the last use at most: the design's longest wait and a release
-ANSWER_US = 100_000  # us that an answer is waited for: many ways there and back, yet short beside a wait
-REPORT_US = 500_000  # us between two sendings of what was earned: a twentieth of the window
-DRIFT = 100  # part of a time, inverse, by which two clocks may differ over it
-DEAF_US = 1_000_000  # us without an answer after which a proxy takes its steward for unheard and keeps what it earns
-HELLO_US = 2_000_000  # us between two tries to be heard again
-MEMBER_LEAST = 50  # units that a member may always add; beyond, no more than all others: a liar at most doubles
-COUNT_MOST = 1000  # units in one row of a message: some thousand set-ups a second of one proxy
+WINDOW_US = SLOTS * SLOT_US  # of the retry budget
+BUCKET_US = 250_000  # units are counted in buckets; rounding costs a fortieth of the window
+LEASE_SLACK_US = 100_000  # by which a retry may be late: a busy core, the message's delay, clocks that drift by 1%
+MAX_LEASE_US = 3_000_000  # from request to last use: the longest wait before a retry and a release
+REPLY_TIMEOUT_US = 100_000  # many round trips, yet short compared with a retry's wait
+REPORT_PERIOD_US = 500_000  # between two reports of earned units: a twentieth of the window
+CLOCK_DRIFT_DIVISOR = 100  # two clocks may drift apart by 1/100 of a time
+COORDINATOR_TIMEOUT_US = 1_000_000  # unanswered for longer, a coordinator is skipped and units are kept
+CONTACT_RETRY_US = 2_000_000  # between two messages to an unreachable coordinator
+MEMBER_MIN_UNITS = 50  # beyond, one member's units count up to all others': a faulty one at most doubles the sum
+MAX_ROW_UNITS = 1000  # per row of a message: some thousand set-ups a second of one proxy
 
 
-class Pool:
-    """Units and grants of one server at one member. Units by step and member; `grants`: until when each counts."""
+class LeaseLedger:
+    """Units and grants of one server at one member: `units` by bucket and member; `grants`: until when each counts."""
 
-    __slots__ = ("units", "grants", "last_use")
+    __slots__ = ("units", "grants", "last_use_at")
 
     def __init__(self):
-        self.units, self.grants, self.last_use = {}, deque(), 0
+        self.units, self.grants, self.last_use_at = {}, deque(), 0
 
     def add(self, now, at, member, count):
-        """`count` units earned by `member`, at `at` or later."""
-        step = min(at, now) // STEP_US
-        if count > 0 and step * STEP_US > now - WINDOW_US:
-            row = self.units.setdefault(step, {})
+        """Adds `count` units that `member` earned at `at` or later."""
+        bucket = min(at, now) // BUCKET_US
+        if count > 0 and bucket * BUCKET_US > now - WINDOW_US:
+            row = self.units.setdefault(bucket, {})
             row[member] = row.get(member, 0) + count
 
     def expire(self, now):
-        for step in [step for step in self.units if step * STEP_US <= now - WINDOW_US]:
-            del self.units[step]
+        for bucket in [bucket for bucket in self.units if bucket * BUCKET_US <= now - WINDOW_US]:
+            del self.units[bucket]
         self.grants = deque(until for until in self.grants if until > now)
 
-    def worth(self, horizon, own):
-        """Units that are in the window at `horizon` still, one member's bounded by the others'."""
-        by = {}
-        for step, row in self.units.items():
-            if step * STEP_US > horizon - WINDOW_US:
+    def usable_units(self, last_moment, own):
+        """Units still in the window at `last_moment`; the largest other member's are capped by all the rest."""
+        by_member = {}
+        for bucket, row in self.units.items():
+            if bucket * BUCKET_US > last_moment - WINDOW_US:
                 for member, count in row.items():
-                    by[member] = by.get(member, 0) + count
-        total = sum(by.values())
-        other = max((count for member, count in by.items() if member != own), default=0)
-        return total - max(0, other - max(MEMBER_LEAST, total - other))
-
-    def take(self, now, lease, own, floor, left):
-        """One grant, to be used within `lease`: if with it no more count than the larger of `floor` and a tenth of the
-        units less those that are `left` unused."""
+                    by_member[member] = by_member.get(member, 0) + count
+        total = sum(by_member.values())
+        largest_other = max((count for member, count in by_member.items() if member != own), default=0)
+        return total - max(0, largest_other - max(MEMBER_MIN_UNITS, total - largest_other))
+
+    def grant(self, now, lease, own, floor, reserved):
+        """Grants one retry within `lease` us if the grants that count, this one included, are at most the larger of
+        `floor` and a tenth of the usable units minus `reserved`."""
         self.expire(now)
-        horizon = max(self.last_use, now + lease)
-        if len(self.grants) + 1 > max(floor, RETRY_SHARE * (self.worth(horizon, own) - left)):
+        last_moment = max(self.last_use_at, now + lease)
+        if len(self.grants) + 1 > max(floor, RETRY_SHARE * (self.usable_units(last_moment, own) - reserved)):
             return False
-        self.last_use = horizon
+        self.last_use_at = last_moment
         self.grants.append(now + lease + WINDOW_US)
         return True
 
-    def empty(self):
+    def is_empty(self):
         return not self.units and not self.grants
 
 
-class Link(NamedTuple):
-    """What is known of one steward: its process, by how much its clock was at least ahead of this one and when, when
-    the oldest message without an answer went, when a hello last went."""
+class CoordinatorLink(NamedTuple):
+    """State of the exchange with one coordinator: its process, the least lead of its clock over this one and when that
+    was determined, when the oldest unanswered message was sent, and when it was last contacted while unreachable."""
 
     born: int = 0
-    ahead: int = 0
-    at: int = 0
-    unanswered: int = 0
-    hello: int = -HELLO_US
+    clock_lead: int = 0
+    updated_at: int = 0
+    unanswered_since: int = 0
+    last_contact_at: int = -CONTACT_RETRY_US
 
 
-class Asked(NamedTuple):
+class PendingRequest(NamedTuple):
     call: int
-    steward: int
-    until: int  # last moment of use
-    answer_by: int
+    coordinator: int
+    use_by: int  # last moment of use
+    reply_by: int
 
 
-class Rights:
-    def __init__(self, ids, own, servers, seed, now, born, there):
-        """`ids`: the members' numbers on the wire; `servers`: the servers', at their own index; `there(member)`."""
-        self.ids, self.own, self.born, self.there, self.began = ids, own, born, there, now
+class RetryLeases:
+    def __init__(self, ids, own, servers, seed, now, born, is_present):
+        """`ids`: the members' wire ids; `servers`: the servers' wire ids by index; `is_present(member)`."""
+        self.ids, self.own, self.born, self.is_present, self.started_at = ids, own, born, is_present, now
         self.servers, self.index = servers, {wire: n for n, wire in enumerate(servers)}
 
-        def drawn(server, member):
+        def weight(server, member):
             return xxh64_intdigest(server.to_bytes(4, "big") + ids[member].to_bytes(4, "big"))
 
-        self.order = [sorted(range(len(ids)), key=lambda m, s=s: drawn(s, m)) for s in servers]
-        self.pools, self.unsent = {}, {}  # server: Pool; server: [(earned at, count)]
-        self.links, self.heard_from = {}, {}  # member: Link; member: (born, last number of units, of a want)
-        self.asked, self.number = {}, seed & 0xFFFFFF
-        self.base, self.report_at = self.number, now + int(REPORT_US * (seed >> 32 & 0xFFFF) / 65_536)
-        self.out, self.told, self.twice_at = [], [], now - 2 * WINDOW_US
+        self.coordinator_order = [sorted(range(len(ids)), key=lambda m, s=s: weight(s, m)) for s in servers]
+        self.ledgers, self.unsent_units = {}, {}  # server: LeaseLedger; server: [(earned at, count)]
+        # member: CoordinatorLink; member: (process, number of its last units, number of its last request)
+        self.links, self.last_numbers = {}, {}
+        self.pending, self.number = {}, seed & 0xFFFFFF
+        self.first_number, self.report_at = self.number, now + int(REPORT_PERIOD_US * (seed >> 32 & 0xFFFF) / 65_536)
+        self.outbox, self.decisions, self.name_conflict_at = [], [], now - 2 * WINDOW_US
         self.count = dict.fromkeys(("asked", "given", "refused", "unheard", "served", "turned", "absurd", "late"), 0)
 
-    # ---- whose what is ----
+    # ---- coordinators and floor owners ----
 
-    def steward(self, now, server):
-        """Who hands out the rights to a server, as far as is known here: the first in its order who is there and
-        answers; who is silent is passed over long before the members hold it dead."""
+    def coordinator(self, now, server):
+        """The member that grants leases for a server by this proxy's view: the first in its order that is present and
+        answers. A silent one is skipped long before the membership declares it dead."""
         return next(
-            (m for m in self.order[server] if m == self.own or self.there(m) and not self._silent(now, m)), self.own
+            (
+                m
+                for m in self.coordinator_order[server]
+                if m == self.own or self.is_present(m) and not self._is_unanswered(now, m)
+            ),
+            self.own,
         )
 
-    def keeps(self, server):
-        """Whether the floor of a server belongs to this member: by the list alone, whoever is there."""
-        return self.order[server][0] == self.own
+    def owns_floor(self, server):
+        """Whether the floor of a server belongs to this member: determined by the list alone, whoever is present."""
+        return self.coordinator_order[server][0] == self.own
 
-    def named_twice(self, now):
-        """Another process goes by this name: for a while none of the two has the floor."""
-        self.twice_at = now
+    def name_conflict(self, now):
+        """Another process uses this proxy's name: for a while neither of the two uses the floor."""
+        self.name_conflict_at = now
 
-    def _pool(self, server):
-        return self.pools.setdefault(server, Pool())
+    def _ledger(self, server):
+        return self.ledgers.setdefault(server, LeaseLedger())
 
-    def _take(self, now, server, lease):
-        keeper = self.keeps(server)
-        # A process that is new or not alone may have given the floor in a former life, or give it in another.
-        sure = now - max(self.began, self.twice_at) > WINDOW_US + LEASE_MOST_US
-        floor, left = (RETRY_FLOOR if keeper and sure else 0), (0 if keeper else int(RETRY_FLOOR / RETRY_SHARE))
-        return self._pool(server).take(now, lease, self.own, floor, left)
+    def _grant(self, now, server, lease):
+        is_owner = self.owns_floor(server)
+        # The previous process of this name, or another one with the same name, may have granted the floor already.
+        floor_allowed = now - max(self.started_at, self.name_conflict_at) > WINDOW_US + MAX_LEASE_US
+        floor, reserved = (
+            (RETRY_FLOOR if is_owner and floor_allowed else 0),
+            (0 if is_owner else int(RETRY_FLOOR / RETRY_SHARE)),
+        )
+        return self._ledger(server).grant(now, lease, self.own, floor, reserved)
 
-    def _silent(self, now, member):
+    def _is_unanswered(self, now, member):
         link = self.links.get(member)
-        return link is not None and 0 < link.unanswered < now - DEAF_US
+        return link is not None and 0 < link.unanswered_since < now - COORDINATOR_TIMEOUT_US
 
-    def _deaf(self, now, member):
-        """Whether a steward is not heard, or not yet: then what is earned stays here."""
-        return member not in self.links or not self.links[member].born or self._silent(now, member)
+    def _is_unreachable(self, now, member):
+        """Whether a coordinator does not answer, or has not answered yet: then earned units are kept here."""
+        return member not in self.links or not self.links[member].born or self._is_unanswered(now, member)
 
-    # ---- what this proxy does ----
+    # ---- this proxy's set-ups and retries ----
 
-    def first(self, now, server):
-        steward = self.steward(now, server)
-        if steward == self.own or self._deaf(now, steward):
-            self._pool(server).add(now, now, self.own, 1)
+    def add_first_setup(self, now, server):
+        coordinator = self.coordinator(now, server)
+        if coordinator == self.own or self._is_unreachable(now, coordinator):
+            self._ledger(server).add(now, now, self.own, 1)
         else:
-            self.unsent.setdefault(server, []).append((now, 1))
+            self.unsent_units.setdefault(server, []).append((now, 1))
 
     def ask(self, now, call, server, resume):
-        until = max(now, resume) + SLACK_US
+        until = max(now, resume) + LEASE_SLACK_US
         lease = until - now
         self.count["asked"] += 1
-        if lease > LEASE_MOST_US:
-            self._tell(call, 0)
+        if lease > MAX_LEASE_US:
+            self._decide(call, 0)
             return
-        steward = self.steward(now, server)
-        if server in self.pools and self._take(now, server, lease):  # its own, or kept while nobody was heard
-            self._tell(call, until)
+        coordinator = self.coordinator(now, server)
+        # As the coordinator, or from units kept while the coordinator was unreachable.
+        if server in self.ledgers and self._grant(now, server, lease):
+            self._decide(call, until)
             return
-        if steward == self.own or self._deaf(now, steward):
-            self._tell(call, until if self.keeps(server) and self._take(now, server, lease) else 0)
+        if coordinator == self.own or self._is_unreachable(now, coordinator):
+            self._decide(call, until if self.owns_floor(server) and self._grant(now, server, lease) else 0)
             return
         self.number += 1
-        self.asked[self.number] = Asked(call, steward, until, now + ANSWER_US)
-        self._send(now, steward, WANT, self.number, [Row(self.servers[server], lease, 0)])
+        self.pending[self.number] = PendingRequest(call, coordinator, until, now + REPLY_TIMEOUT_US)
+        self._send(now, coordinator, LEASE_REQUEST, self.number, [LeaseRow(self.servers[server], lease, 0)])
 
-    def _tell(self, call, until):
+    def _decide(self, call, until):
         self.count["given" if until else "refused"] += 1
-        self.told.append((call, until))
+        self.decisions.append((call, until))
 
     def _send(self, now, member, kind, number, rows):
-        link = self.links.get(member, Link())
-        if kind in (UNITS, WANT) and not link.unanswered:
-            self.links[member] = link._replace(unanswered=now)
-        self.out.append((member, kind, link.born, number, rows))
+        link = self.links.get(member, CoordinatorLink())
+        if kind in (EARNED_UNITS, LEASE_REQUEST) and not link.unanswered_since:
+            self.links[member] = link._replace(unanswered_since=now)
+        self.outbox.append((member, kind, link.born, number, rows))
 
-    # ---- what is heard ----
+    # ---- receiving ----
 
     def heard(self, now, gram, sender):
-        if gram.kind == UNITS:
-            self._units(now, gram, sender)
-        elif gram.kind == STAMP:
-            self._stamp(now, gram, sender)
-        elif gram.kind == WANT:
-            self._wanted(now, gram, sender)
-        elif gram.kind == GIVE:
-            self._given(now, gram, sender)
-
-    def _fresh(self, gram, sender, place):
-        """Whether this is the next word of the sender's process to this one: a copy or an old one is passed over."""
+        if gram.kind == EARNED_UNITS:
+            self._receive_units(now, gram, sender)
+        elif gram.kind == CLOCK_STAMP:
+            self._receive_clock(now, gram, sender)
+        elif gram.kind == LEASE_REQUEST:
+            self._receive_request(now, gram, sender)
+        elif gram.kind == LEASE_REPLY:
+            self._receive_reply(now, gram, sender)
+
+    def _is_new(self, gram, sender, counter_index):
+        """Whether the message is for this process and newer than the last from the sender's process; copies and old
+        messages are ignored."""
         if gram.about != self.born:
             return False
-        seen = self.heard_from.get(sender)
-        if seen is None or seen[0] != gram.born:
-            seen = (gram.born, -1, -1)
-        if gram.number <= seen[place]:
+        last = self.last_numbers.get(sender)
+        if last is None or last[0] != gram.born:
+            last = (gram.born, -1, -1)
+        if gram.number <= last[counter_index]:
             return False
-        self.heard_from[sender] = (*seen[:place], gram.number, *seen[place + 1 :])
+        self.last_numbers[sender] = (*last[:counter_index], gram.number, *last[counter_index + 1 :])
         return True
 
-    def _units(self, now, gram, sender):
-        if gram.rows and not self._fresh(gram, sender, 1):
+    def _receive_units(self, now, gram, sender):
+        if gram.rows and not self._is_new(gram, sender, 1):
             self.count["late"] += 1
         else:
             for row in gram.rows:
                 server = self.index.get(row.server)
-                if server is None or row.b > COUNT_MOST:
+                if server is None or row.b > MAX_ROW_UNITS:
                     self.count["absurd"] += 1
                 else:
-                    self._pool(server).add(now, row.a, sender, row.b)
-        self.out.append((sender, STAMP, gram.born, gram.number, [Row(0, now, 0)]))
+                    self._ledger(server).add(now, row.a, sender, row.b)
+        self.outbox.append((sender, CLOCK_STAMP, gram.born, gram.number, [LeaseRow(0, now, 0)]))
 
-    def _stamp(self, now, gram, sender):
-        if gram.about != self.born or not self.base < gram.number <= self.number or len(gram.rows) != 1:
+    def _receive_clock(self, now, gram, sender):
+        if gram.about != self.born or not self.first_number < gram.number <= self.number or len(gram.rows) != 1:
             return
-        link, ahead = self.links.get(sender, Link()), gram.rows[0].a - now
+        link, clock_lead = self.links.get(sender, CoordinatorLink()), gram.rows[0].a - now
         if link.born == gram.born:
-            ahead = max(ahead, link.ahead - (now - link.at) // DRIFT)  # the quickest way known
-        self.links[sender] = link._replace(born=gram.born, ahead=ahead, at=now, unanswered=0)
+            # Keeps the estimate from the fastest message.
+            clock_lead = max(clock_lead, link.clock_lead - (now - link.updated_at) // CLOCK_DRIFT_DIVISOR)
+        self.links[sender] = link._replace(born=gram.born, clock_lead=clock_lead, updated_at=now, unanswered_since=0)
 
-    def _wanted(self, now, gram, sender):
+    def _receive_request(self, now, gram, sender):
         row = gram.rows[0] if len(gram.rows) == 1 else None
         server = self.index.get(row.server) if row else None
-        if server is None or not 0 < row.a <= LEASE_MOST_US:
+        if server is None or not 0 < row.a <= MAX_LEASE_US:
             self.count["absurd"] += 1
             return
-        if not self._fresh(gram, sender, 2):
+        if not self._is_new(gram, sender, 2):
             self.count["late"] += 1
             return
-        given = self._take(now, server, row.a)
-        self.count["served" if given else "turned"] += 1
-        self.out.append((sender, GIVE, gram.born, gram.number, [Row(row.server, int(given), 0)]))
+        granted = self._grant(now, server, row.a)
+        self.count["served" if granted else "turned"] += 1
+        self.outbox.append((sender, LEASE_REPLY, gram.born, gram.number, [LeaseRow(row.server, int(granted), 0)]))
 
-    def _given(self, now, gram, sender):
-        asked = self.asked.get(gram.number)
-        if asked is None or gram.about != self.born or len(gram.rows) != 1 or sender != asked.steward:
+    def _receive_reply(self, now, gram, sender):
+        request = self.pending.get(gram.number)
+        if request is None or gram.about != self.born or len(gram.rows) != 1 or sender != request.coordinator:
             return
-        del self.asked[gram.number]
+        del self.pending[gram.number]
         link = self.links.get(sender)
         if link is not None:
-            self.links[sender] = link._replace(unanswered=0)
-        self._tell(asked.call, asked.until if gram.rows[0].a else 0)
+            self.links[sender] = link._replace(unanswered_since=0)
+        self._decide(request.call, request.use_by if gram.rows[0].a else 0)
 
-    # ---- what falls due ----
+    # ---- timers ----
 
     def next_at(self):
-        return min([self.report_at, *(asked.answer_by for asked in self.asked.values())])
+        return min([self.report_at, *(request.reply_by for request in self.pending.values())])
 
     def tick(self, now):
-        for number, asked in [(n, a) for n, a in self.asked.items() if a.answer_by <= now]:
-            del self.asked[number]
+        for number, request in [(n, a) for n, a in self.pending.items() if a.reply_by <= now]:
+            del self.pending[number]
             self.count["unheard"] += 1
-            self._tell(asked.call, 0)
+            self._decide(request.call, 0)
         if now < self.report_at:
             return
-        self.report_at = now + REPORT_US
-        by = {}
-        for server, earned in self.unsent.items():
-            steward = self.steward(now, server)
-            if steward == self.own or self._deaf(now, steward):
+        self.report_at = now + REPORT_PERIOD_US
+        rows_by_coordinator = {}
+        for server, earned in self.unsent_units.items():
+            coordinator = self.coordinator(now, server)
+            if coordinator == self.own or self._is_unreachable(now, coordinator):
                 for at, count in earned:
-                    self._pool(server).add(now, at, self.own, count)
+                    self._ledger(server).add(now, at, self.own, count)
             else:
-                at = earned[0][0] + self.links[steward].ahead
-                by.setdefault(steward, []).append(Row(self.servers[server], max(0, at), min(COUNT_MOST, len(earned))))
-        self.unsent = {}
-        for steward, rows in by.items():
-            for n in range(0, len(rows), ROWS_MOST):
+                at = earned[0][0] + self.links[coordinator].clock_lead
+                rows_by_coordinator.setdefault(coordinator, []).append(
+                    LeaseRow(self.servers[server], max(0, at), min(MAX_ROW_UNITS, len(earned)))
+                )
+        self.unsent_units = {}
+        for coordinator, rows in rows_by_coordinator.items():
+            for n in range(0, len(rows), MAX_ROWS):
                 self.number += 1
-                self._send(now, steward, UNITS, self.number, rows[n : n + ROWS_MOST])
-        self._hellos(now)
-        for server in list(self.pools):
-            self.pools[server].expire(now)
-            if self.pools[server].empty():
-                del self.pools[server]
-
-    def _hellos(self, now):
-        """Stewards that are not heard, and those passed over for that, are asked for a stamp now and then."""
-        wanted = set()
-        for server, order in enumerate(self.order):
-            steward = self.steward(now, server)
-            wanted.update(m for m in order[: order.index(steward) + 1] if m != self.own and self.there(m))
-        for member in sorted(wanted):
-            link = self.links.get(member, Link())
-            if self._deaf(now, member) and now - link.hello >= HELLO_US:
-                self.links[member] = link._replace(hello=now)
+                self._send(now, coordinator, EARNED_UNITS, self.number, rows[n : n + MAX_ROWS])
+        self._contact_silent_coordinators(now)
+        for server in list(self.ledgers):
+            self.ledgers[server].expire(now)
+            if self.ledgers[server].is_empty():
+                del self.ledgers[server]
+
+    def _contact_silent_coordinators(self, now):
+        """Requests a clock stamp now and then from coordinators that do not answer, including those skipped for it."""
+        members = set()
+        for server, order in enumerate(self.coordinator_order):
+            coordinator = self.coordinator(now, server)
+            members.update(m for m in order[: order.index(coordinator) + 1] if m != self.own and self.is_present(m))
+        for member in sorted(members):
+            link = self.links.get(member, CoordinatorLink())
+            if self._is_unreachable(now, member) and now - link.last_contact_at >= CONTACT_RETRY_US:
+                self.links[member] = link._replace(last_contact_at=now)
                 self.number += 1
-                self._send(now, member, UNITS, self.number, [])
+                self._send(now, member, EARNED_UNITS, self.number, [])
 
     def view(self):
-        """For the log: rights that could be given now by server index, and counts."""
-        held = {s: int(RETRY_SHARE * p.worth(p.last_use, self.own)) for s, p in self.pools.items()}
+        """For the log: leases that could be granted now by server index, and the counts."""
+        held = {
+            s: int(RETRY_SHARE * ledger.usable_units(ledger.last_use_at, self.own))
+            for s, ledger in self.ledgers.items()
+        }
         return {s: n for s, n in held.items() if n}, dict(self.count)
--- a/thorndale/fleet/share.py
+++ b/thorndale/fleet/share.py
@@ -1,53 +1,56 @@
-"""All that a proxy and its fleet tell each other, under one clock: members, rights to retries, words on servers.
-
-How to call it: `Share(names, own, servers, seed, now, born, incarnation, rights, words)`, `servers` by name, their
-indices those of the module. `heard(now, gram, sender)` for each datagram of a listed member, `tick(now)` when
-`next_at()` has come; what this proxy does goes in by `seized`, `ask`, `met` and `began`. All but the last give
-[(member, Gram)] to be sent. `events()` gives what the module is to be told, and forgets it. Pure: no I/O, time and
-seed from outside.
+"""The fleet protocol of one proxy under one clock: membership, retry leases and peer failure reports.
+
+Usage: `FleetExchange(names, own, servers, seed, now, boot_id, incarnation, rights, words)`; `servers` are names in the
+order of the module's indices; `rights` and `words` are the settings that enable retry leases and failure reports. Call
+`receive(now, datagram, sender)` for each datagram of a listed member, and `tick(now)` once `next_at()` has passed. The
+proxy reports its own actions with `record_seizure`, `request_lease`, `record_outcomes` and `server_started`. `receive`,
+`tick`, `request_lease` and `leave` return [(member, Datagram)] to be sent. `take_events()` returns and clears the
+events for the module. No I/O; time and seed are passed in.
 """
 
 from thorndale import interface as io
 from thorndale.fleet import wire
 from thorndale.fleet.members import ALIVE, Members
-from thorndale.fleet.rights import Rights
-from thorndale.fleet.words import Words
+from thorndale.fleet.rights import RetryLeases
+from thorndale.fleet.words import PeerReports
 
-SPREAD = 3  # members told a word at once: with four, the last few are reached sooner and all the others twice more
-ANSWERED = (io.BUSY, io.FULL, io.EMPTY)  # ends of a set-up that a sound server gives
+# Members that a report is sent to at once. Four would reach the last few sooner, and send all others twice more.
+FANOUT = 3
+ANSWER_OUTCOMES = (io.BUSY, io.FULL, io.EMPTY)  # outcomes of a set-up that show a working server
 
 
 class Share:
     def __init__(self, names, own, servers, seed, now, born, incarnation, rights=True, words=True):
         self.members = Members(names, own, seed, now, born, incarnation)
-        ids, marks = self.members.ids, [wire.member_id(name) for name in servers]
+        ids, server_ids = self.members.ids, [wire.member_id(name) for name in servers]
         self.own = own
-        self.rights = Rights(ids, own, marks, seed >> 7, now, born, self._may_be) if rights else None
-        self.words = Words(ids, own, marks, seed >> 13, now) if words else None
-        self.twice = 0
+        # None where the setting of the same name disables them.
+        self.rights = RetryLeases(ids, own, server_ids, seed >> 7, now, born, self._not_known_gone) if rights else None
+        self.words = PeerReports(ids, own, server_ids, seed >> 13, now) if words else None
+        self.name_conflicts = 0
 
-    def there(self, member):
+    def is_present(self, member):
         return self.members.state[member] in (ALIVE, wire.SUSPECT)
 
-    def _may_be(self, member):
-        """A steward is passed over once it is silent; to wait until it is heard of would have each proxy go by another
-        one for as long as a fleet takes to join."""
+    def _not_known_gone(self, member):
+        """Members not heard from yet may be coordinators too: a silent one is skipped anyway, whereas waiting for each
+        to join would have every proxy use a different coordinator while a fleet starts."""
         return self.members.state[member] not in (wire.DEAD, wire.LEFT)
 
-    # ---- what this proxy does ----
+    # ---- this proxy's actions ----
 
     def seized(self, now, server, first):
         if first and self.rights:
-            self.rights.first(now, server)
+            self.rights.add_first_setup(now, server)
 
     def ask(self, now, call, server, resume):
         if self.rights is None:
             return []
         self.rights.ask(now, call, server, resume)
-        return self._out(now)
+        return self._lease_datagrams(now)
 
     def before(self, events, module):
-        """What the module holds of the servers of these events, before it is told them: to be given to `met`."""
+        """The module's failure log odds of the events' servers before it receives the events, for `record_outcomes`."""
         if self.words is None:
             return []
         return [
@@ -57,86 +60,91 @@
         ]
 
     def met(self, now, before, module):
-        """The module has been told those events: what it holds a loss is one, and what it does not may be an answer."""
+        """Called after the module received those events. A set-up that raised the server's odds is a loss; any other
+        may be an answer."""
         for event, score in before:
             if (
                 type(event) is io.SeizureEnded and event.outcome == io.FAULTY
-            ):  # an answer, and the caller's fault as often
+            ):  # an answer, and as often caused by the caller
                 continue
-            answered = type(event) is io.Answered or event.outcome in ANSWERED
+            answered = type(event) is io.Answered or event.outcome in ANSWER_OUTCOMES
             lost = module.failure_log_odds[event.server] > score
-            self.words.met(now, event.server, answered and not lost, lost, now - event.latency_us)
+            self.words.record_outcome(now, event.server, answered and not lost, lost, now - event.latency_us)
 
-    def began(self, server, mark):
+    def began(self, server, process_start_s):
         if self.words:
-            self.words.began(server, mark)
+            self.words.began(server, process_start_s)
 
     def waiting(self):
-        return bool(self.rights and self.rights.told or self.words and self.words.changed)
+        return bool(self.rights and self.rights.decisions or self.words and self.words.changed_odds)
 
     def events(self):
-        found = []
-        if self.rights and self.rights.told:
-            found += [io.RetryLease(call, until) for call, until in self.rights.told]
-            self.rights.told = []
-        if self.words and self.words.changed:
-            found += [io.PeerFailureReport(server, odds) for server, odds in self.words.changed]
-            self.words.changed = []
-        return found
+        events = []
+        if self.rights and self.rights.decisions:
+            events += [io.RetryLease(call, until) for call, until in self.rights.decisions]
+            self.rights.decisions = []
+        if self.words and self.words.changed_odds:
+            events += [io.PeerFailureReport(server, odds) for server, odds in self.words.changed_odds]
+            self.words.changed_odds = []
+        return events
 
-    # ---- what is heard, and falls due ----
+    # ---- receiving and timers ----
 
     def heard(self, now, gram, sender):
-        out = self.members.heard(now, gram, sender)
+        outgoing = self.members.heard(now, gram, sender)
         if gram.sender != self.members.ids[sender] or gram.born != self.members.born[sender]:
-            return out  # not what it says, or a former process of that name
-        if gram.words and self.words:
-            self.words.heard(now, gram.words)
-        if gram.kind in (wire.UNITS, wire.STAMP, wire.WANT, wire.GIVE) and self.rights:
+            return outgoing  # not from its claimed sender, or from a previous process of that name
+        if gram.reports and self.words:
+            self.words.heard(now, gram.reports)
+        if gram.kind in (wire.EARNED_UNITS, wire.CLOCK_STAMP, wire.LEASE_REQUEST, wire.LEASE_REPLY) and self.rights:
             self.rights.heard(now, gram, sender)
-        return out + self._out(now)
+        return outgoing + self._lease_datagrams(now)
 
     def next_at(self):
-        return min(part.next_at() for part in (self.members, self.rights, self.words) if part is not None)
+        return min(
+            component.next_at() for component in (self.members, self.rights, self.words) if component is not None
+        )
 
     def tick(self, now):
-        out = self.members.tick(now) if self.members.next_at() <= now else []
-        if self.members.count["twice"] != self.twice:
-            self.twice = self.members.count["twice"]
+        outgoing = self.members.tick(now) if self.members.next_at() <= now else []
+        if self.members.count["twice"] != self.name_conflicts:
+            self.name_conflicts = self.members.count["twice"]
             if self.rights:
-                self.rights.named_twice(now)
+                self.rights.name_conflict(now)
         if self.rights and self.rights.next_at() <= now:
             self.rights.tick(now)
         if self.words and self.words.next_at() <= now:
-            self.words.alive = sum(map(self.there, range(len(self.members.names))))
-            going = self.words.tick(now)
-            if going:
-                out += [(m, self._gram(wire.TELL, 0, 0, words=going)) for m in self._some()]
-        return out + self._out(now)
+            self.words.present_members = sum(map(self.is_present, range(len(self.members.names))))
+            reports = self.words.tick(now)
+            if reports:
+                outgoing += [
+                    (m, self._make_datagram(wire.FAILURE_REPORTS, 0, 0, reports=reports)) for m in self._random_peers()
+                ]
+        return outgoing + self._lease_datagrams(now)
 
     def leave(self, now):
         return self.members.leave(now)
 
-    def _some(self):
-        others = [m for m in range(len(self.members.names)) if m != self.own and self.there(m)]
-        return [others.pop(int(self.words._chance() * len(others))) for _ in range(min(SPREAD, len(others)))]
+    def _random_peers(self):
+        others = [m for m in range(len(self.members.names)) if m != self.own and self.is_present(m)]
+        return [others.pop(int(self.words._random() * len(others))) for _ in range(min(FANOUT, len(others)))]
 
-    def _out(self, now):
-        if self.rights is None or not self.rights.out:
+    def _lease_datagrams(self, now):
+        if self.rights is None or not self.rights.outbox:
             return []
-        out, self.rights.out = self.rights.out, []
-        return [(m, self._gram(kind, number, about, rows=rows)) for m, kind, about, number, rows in out]
+        outgoing, self.rights.outbox = self.rights.outbox, []
+        return [(m, self._make_datagram(kind, number, about, rows=rows)) for m, kind, about, number, rows in outgoing]
 
-    def _gram(self, kind, number, about, rows=(), words=()):
-        known, own = self.members, self.own
+    def _make_datagram(self, kind, number, about, rows=(), reports=()):
+        members, own = self.members, self.own
         return wire.Gram(
             wire.VERSION,
             kind,
-            known.ids[own],
-            known.born[own],
-            known.incarnation[own],
+            members.ids[own],
+            members.born[own],
+            members.incarnation[own],
             number,
             about,
             rows=list(rows),
-            words=list(words),
+            reports=list(reports),
         )
--- a/thorndale/fleet/view.py
+++ b/thorndale/fleet/view.py
@@ -1,14 +1,15 @@
-"""Who sees whom, from the log lines `members` of many proxies: where views differ, and since when; who holds which
-rights, what was refused, which servers hearsay shuts, from the lines `rights` and `words`. Pure."""
+"""Membership as each proxy sees it, from the log lines `members` of many proxies: where views differ, and since when.
+Retry leases held and refused, and servers avoided on account of peer reports, from the lines `rights` and `words`.
+No I/O."""
 
 import json
 from typing import NamedTuple
 
-STALE_S = 40  # seconds behind the newest line after which a proxy's last view is called old: four of its lines
+STALE_S = 40  # behind the newest line of all, a proxy's last view is stale: four of its lines
 
 
-class Seen(NamedTuple):
-    """The last view of one proxy: wall second, {member: state}, and {member: wall second since when so}."""
+class MemberView(NamedTuple):
+    """The last view of one proxy: wall second, {member: state}, and {member: wall second of its last change}."""
 
     second: int
     states: dict
@@ -18,7 +19,7 @@
 
 
 def views(lines):
-    """{proxy: Seen} of the lines of logs, and how many could not be read."""
+    """{proxy: MemberView} from log lines, and the number of unreadable lines."""
     found, bad = {}, 0
     for line in lines:
         try:
@@ -37,7 +38,7 @@
         if last is not None and last.second > second:
             continue
         since = {m: (last.since[m] if last and last.states.get(m) == state else second) for m, state in states.items()}
-        found[proxy] = Seen(second, states, since, event.get("slow", 0), event.get("counts", {}))
+        found[proxy] = MemberView(second, states, since, event.get("slow", 0), event.get("counts", {}))
     return found, bad
 
 
@@ -56,9 +57,9 @@
     return {name: state for state, names in rows for name in names}
 
 
-class Held(NamedTuple):
-    """What a proxy told last of its rights and of what it heard: {server: rights it could give}, counts of retries,
-    servers shut by hearsay."""
+class LeaseView(NamedTuple):
+    """A proxy's last reported {server: leases it could grant}, counts of retries, and servers avoided on account of
+    peer reports."""
 
     held: dict
     counts: dict
@@ -66,7 +67,7 @@
 
 
 def holdings(lines):
-    """{proxy: Held} of the lines of logs; what cannot be read is passed over, as `views` counts it."""
+    """{proxy: LeaseView} from log lines. Unreadable lines are skipped; `member_views` counts them."""
     found = {}
     for line in lines:
         try:
@@ -75,21 +76,21 @@
             continue
         if not isinstance(event, dict) or not isinstance(event.get("proxy"), str):
             continue
-        last = found.get(event["proxy"], Held({}, {}, []))
+        last = found.get(event["proxy"], LeaseView({}, {}, []))
         held, counts, shut = event.get("held"), event.get("counts"), event.get("shut")
-        if event.get("event") == "rights" and _plain(held) and _plain(counts):
+        if event.get("event") == "rights" and _is_counts(held) and _is_counts(counts):
             found[event["proxy"]] = last._replace(held=held, counts=counts)
         elif event.get("event") == "words" and isinstance(shut, list) and all(isinstance(s, str) for s in shut):
             found[event["proxy"]] = last._replace(shut=shut)
     return found
 
 
-def _plain(counts):
+def _is_counts(counts):
     return isinstance(counts, dict) and all(isinstance(n, int) for n in counts.values())
 
 
 def by_server(found):
-    """[(server, {proxy: rights}, [proxies to which it is shut])] of servers for which there is either."""
+    """[(server, {proxy: leases}, [proxies that avoid it])] of servers for which there is either."""
     rows = {}
     for proxy, own in sorted(found.items()):
         for server, n in own.held.items():
@@ -100,25 +101,27 @@
 
 
 def parts(found):
-    """Groups of proxies that see each other the same, largest first: ([proxies], frozenset of those held there)."""
-    newest = max((seen.second for seen in found.values()), default=0)
-    by = {}
-    for proxy, seen in sorted(found.items()):
-        if seen.second >= newest - STALE_S:
-            there = frozenset(m for m, state in seen.states.items() if state in ("alive", "suspect"))
-            by.setdefault(there, []).append(proxy)
-    return sorted(((proxies, there) for there, proxies in by.items()), key=lambda row: (-len(row[0]), row[0]))
+    """Groups of proxies with the same view, largest first: ([proxies], frozenset of members they consider present)."""
+    newest = max((view.second for view in found.values()), default=0)
+    proxies_by_view = {}
+    for proxy, view in sorted(found.items()):
+        if view.second >= newest - STALE_S:
+            present = frozenset(m for m, state in view.states.items() if state in ("alive", "suspect"))
+            proxies_by_view.setdefault(present, []).append(proxy)
+    return sorted(
+        ((proxies, present) for present, proxies in proxies_by_view.items()), key=lambda row: (-len(row[0]), row[0])
+    )
 
 
 def differences(found):
-    """[(member, {state: [proxies]}, wall second since when the first of them sees it so)] of members on whom the views
-    differ or whom some do not hold alive."""
-    by = {}
-    for proxy, seen in sorted(found.items()):
-        for member, state in seen.states.items():
-            by.setdefault(member, {}).setdefault(state, []).append(proxy)
+    """[(member, {state: [proxies]}, wall second since when a proxy sees it as not alive)] of members that some proxy
+    does not consider alive."""
+    states_by_member = {}
+    for proxy, view in sorted(found.items()):
+        for member, state in view.states.items():
+            states_by_member.setdefault(member, {}).setdefault(state, []).append(proxy)
     rows = []
-    for member, states in sorted(by.items()):
+    for member, states in sorted(states_by_member.items()):
         if set(states) != {"alive"}:
             others = [p for state, proxies in states.items() if state != "alive" for p in proxies]
             rows.append((member, states, min(found[p].since[member] for p in others)))
--- a/thorndale/fleet/wire.py
+++ b/thorndale/fleet/wire.py
@@ -1,6 +1,7 @@
-"""The one kind of datagram between proxies: a MessagePack array. Whatever is not exactly so is refused with a reason.
+"""Codec of the datagrams between proxies: one MessagePack array each. Anything else is rejected with a reason.
 
-A member goes by a number of 32 bits made of its name, so that lists may differ for a while, as when one is added.
+A member is identified by a 32-bit hash of its name rather than by its index, so that member lists may differ for a
+while, as when a member is added.
 """
 
 from typing import Annotated
@@ -9,66 +10,67 @@
 from xxhash import xxh32_intdigest
 
 VERSION = 2
-PROBE, ACK, ASK = 0, 1, 2  # are you there; yes; ask that one for me
-UNITS, STAMP, WANT, GIVE = 3, 4, 5, 6  # rights: earned here; my clock; one for a retry; the answer
-TELL = 7  # words on servers
+PROBE, ACK, INDIRECT_PROBE = 0, 1, 2  # membership: probe; its answer; request to probe another member
+EARNED_UNITS, CLOCK_STAMP, LEASE_REQUEST, LEASE_REPLY = 3, 4, 5, 6  # retry leases
+FAILURE_REPORTS = 7
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
-NEWS_MOST = 10  # pieces of news in one datagram: it stays under 256 bytes
-ROWS_MOST, WORDS_MOST = 12, 10  # the same of rights and of words
-LARGEST = 512  # bytes; more is none of ours
+MAX_UPDATES = 10  # in one datagram, which keeps it under 256 bytes
+MAX_ROWS, WORDS_MOST = 12, 10  # lease rows and failure reports in one datagram, for the same reason
+MAX_DATAGRAM_BYTES = 512  # longer datagrams are not from a proxy
 
-Id = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
-Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
+WireId = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+Counter = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
 
 
-class News(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
-    """`member` is in this state as of its `incarnation`; `born` marks the process that it spoke of."""
+class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
+    """`member` is in `state` as of `incarnation`; `boot_id` identifies the member's process."""
 
-    member: Id
-    born: Id
-    incarnation: Number
+    member: WireId
+    born: WireId
+    incarnation: Counter
     state: Annotated[int, msgspec.Meta(ge=0, le=3)]
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
-    """Of rights. UNITS: `a` us of the receiver's clock, `b` units. STAMP: `a` the sender's clock. WANT: `a` us from now
-    to the last use. GIVE: `a` 1 or 0."""
+class LeaseRow(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
+    """One row of a retry lease message; `a` and `b` by its kind. EARNED_UNITS: the time in us by the receiver's clock,
+    and the number of units. CLOCK_STAMP: the sender's clock in us. LEASE_REQUEST: us from now to the last use.
+    LEASE_REPLY: 1 granted, 0 refused."""
 
-    server: Id
-    a: Number
+    server: WireId
+    a: Counter
     b: Annotated[int, msgspec.Meta(ge=0, lt=1 << 16)]
 
 
 class Word(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
-    """`teller` lost a set-up that it sent to `server` so many ms ago, or was answered (`good`); `mark`: the second at
-    which that process of the server began, 0 for long ago."""
+    """`reporter` lost a set-up that it sent to `server` `age_ms` ago, or got an answer to it (`answered`).
+    `process_start_s`: the second at which that process of the server started, 0 for long ago."""
 
-    server: Id
-    teller: Id
-    mark: Id
+    server: WireId
+    reporter: WireId
+    process_start_s: WireId
     age_ms: Annotated[int, msgspec.Meta(ge=0, lt=1 << 20)]
-    good: bool
+    answered: bool
 
 
 class Gram(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
-    """`sender` speaks of itself by `born` and `incarnation`. `number` matches an ACK with its PROBE; `about` is the
-    member that an ASK is for, or that answered, where the ACK comes through another; in messages on rights the process
-    that they are meant for; else the sender."""
+    """`boot_id` and `incarnation` are those of `sender`. `number` matches an ACK with its PROBE. `about` is the member
+    to be probed in an INDIRECT_PROBE, the member that answered in an ACK, and the receiver's process in lease messages;
+    else the sender."""
 
     version: Annotated[int, msgspec.Meta(ge=0, le=255)]
     kind: Annotated[int, msgspec.Meta(ge=0, le=7)]
-    sender: Id
-    born: Id
-    incarnation: Number
-    number: Id
-    about: Id
-    news: Annotated[list[News], msgspec.Meta(max_length=NEWS_MOST)] = []
-    rows: Annotated[list[Row], msgspec.Meta(max_length=ROWS_MOST)] = []
-    words: Annotated[list[Word], msgspec.Meta(max_length=WORDS_MOST)] = []
+    sender: WireId
+    born: WireId
+    incarnation: Counter
+    number: WireId
+    about: WireId
+    news: Annotated[list[MembershipUpdate], msgspec.Meta(max_length=MAX_UPDATES)] = []
+    rows: Annotated[list[LeaseRow], msgspec.Meta(max_length=MAX_ROWS)] = []
+    reports: Annotated[list[Word], msgspec.Meta(max_length=WORDS_MOST)] = []
 
 
 class WireError(Exception):
-    """A datagram that is not ours; the text says why."""
+    """A datagram that no proxy of this version sends; the message says why."""
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -84,13 +86,13 @@
 
 
 def decode(data):
-    """A Gram. Raises WireError."""
-    if len(data) > LARGEST:
+    """The decoded datagram. Raises WireError."""
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise WireError("too long")
     try:
         gram = _decode(data)
-    except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-        raise WireError(str(fault)[:120]) from None
+    except (msgspec.DecodeError, msgspec.ValidationError) as error:
+        raise WireError(str(error)[:120]) from None
     if gram.version != VERSION:
         raise WireError(f"version {gram.version}")
     return gram
