--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -85,7 +85,7 @@
             for other in range(self.plan.members):
                 if other != member:
                     made.state[other], made.incarnation[other] = ALIVE, WALL_S << 16
-            made.news.clear()
+            made.updates.clear()
             made.periods = 1_000
         self.members[member] = made
         self._alarm(member, made)
@@ -96,8 +96,8 @@
 
     def _send(self, member, out):
         sock = self.sockets[member]
-        for to, gram in out:
-            data = wire.encode(gram)
+        for to, datagram in out:
+            data = wire.encode(datagram)
             self.datagrams += 1
             self.bytes += len(data)
             with contextlib.suppress(OSError):
@@ -114,7 +114,7 @@
             apart = self.island.get(sender, 0) != self.island.get(member, 0)
             if made is None or apart or self.random.random() < self.plan.loss:
                 continue
-            self._send(member, made.heard(self.now(), wire.decode(data), sender))
+            self._send(member, made.receive(self.now(), wire.decode(data), sender))
             self._changed(made)
 
     def _changed(self, made):
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -21,7 +21,7 @@
 from thorndale.emulator.fleet import Fleet
 from thorndale.emulator.sharing import Between
 from thorndale.fleet import wire
-from thorndale.fleet.wire import Word
+from thorndale.fleet.wire import FailureReport
 
 BOTH = "rights words"
 AT = 30  # second of the event
@@ -70,17 +70,17 @@
         return [
             (
                 to,
-                wire.Gram(
+                wire.Datagram(
                     g.version,
                     g.kind,
                     g.sender,
-                    g.born,
+                    g.boot_id,
                     g.incarnation,
                     g.number,
                     g.about,
-                    g.news[:3],
+                    g.updates[:3],
                     g.rows[:3],
-                    [Word(s, g.sender, 0, 0, False) for s in ids[now // S % 3 :: 3][: wire.WORDS_MOST]],
+                    [FailureReport(s, g.sender, 0, 0, False) for s in ids[now // S % 3 :: 3][: wire.MAX_REPORTS]],
                 ),
             )
             for to, g in out
@@ -141,7 +141,7 @@
         from thorndale.emulator.sharing import Sharing
 
         self.firsts, self.retries = [[] for _ in fleet.servers], [[] for _ in fleet.servers]
-        self.fleet, self.before, self.seized = fleet, lambda *_: (), lambda *_: None
+        self.fleet, self.odds_before, self.record_seizure = fleet, lambda *_: (), lambda *_: None
         self.arrived = Sharing.arrived.__get__(self)
         self.over, self.use = Sharing.over.__get__(self), Sharing.use.__get__(self)
 
--- a/tests/call/test_book.py
+++ b/tests/call/test_book.py
@@ -6,7 +6,7 @@
 
 from thorndale import interface as io
 from thorndale.call.book import Body, Entry, decode_copy, encode_copy, parse_body
-from thorndale.daemon import keep
+from thorndale.daemon import book_file
 from thorndale.sip.errors import SipError
 from thorndale.sip.transaction import Hop
 
@@ -105,10 +105,10 @@
         with pytest.raises(SipError):
             decode_copy(bytes(corrupt))
     path, logged = str(tmp_path / "book"), []
-    keep.replace(path, data)
-    assert keep.read(path, lambda *a, **k: logged.append(a)) == body
+    book_file.replace(path, data)
+    assert book_file.read(path, lambda *a, **k: logged.append(a)) == body
     (tmp_path / "book").write_bytes(data[:-9])
-    assert keep.read(path, lambda *a, **k: logged.append(a)) is None and logged[0][0] == "error"
+    assert book_file.read(path, lambda *a, **k: logged.append(a)) is None and logged[0][0] == "error"
     rig = Rig(BOOK_SETTING, book=body)
     assert server_states(rig) == ["draining", "gone"]
 
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -126,9 +126,9 @@
     first = net.up[3]
     net.start(3)  # the first process goes on: both send under one name
     net.run(net.now + 5 * S)
-    gram = first._make_datagram(wire.PROBE, 1, 0, 0)
+    datagram = first._make_datagram(wire.PROBE, 1, 0, 0)
     for k in range(20):
-        net._arrive(3, k % 6 if k % 6 != 3 else 0, wire.encode(gram))
+        net._arrive(3, k % 6 if k % 6 != 3 else 0, wire.encode(datagram))
         net.run(net.now + S)
     assert any(s[3] == "named twice or begun anew" for s in net.said) or any(s[3] == "begun anew" for s in net.said)
     assert net.until(lambda: net.agreed(range(6)), 30 * S) is not None
@@ -138,7 +138,7 @@
     net, _ = joined(10)
     faulty, rand = net.up[9], random.Random(3)
     for _ in range(60):
-        news = [
+        updates = [
             wire.MembershipUpdate(
                 net.up[0].ids[k],
                 rand.getrandbits(32),
@@ -147,8 +147,8 @@
             )
             for k in rand.sample(range(9), 5)
         ]
-        false_datagram = wire.Gram(
-            wire.VERSION, wire.PROBE, faulty.ids[9], faulty.born[9], faulty.incarnation[9], 7, faulty.ids[9], news
+        false_datagram = wire.Datagram(
+            wire.VERSION, wire.PROBE, faulty.ids[9], faulty.boot_id[9], faulty.incarnation[9], 7, faulty.ids[9], updates
         )
         for to in rand.sample(range(9), 3):
             net._arrive(9, to, wire.encode(false_datagram))
@@ -159,7 +159,7 @@
 
 def test_old_messages_replayed_after_a_restart_change_nothing():
     net, _ = joined(8)
-    old = [(to, wire.encode(gram)) for to, gram in net.up[2].leave(net.now)]
+    old = [(to, wire.encode(datagram)) for to, datagram in net.up[2].leave(net.now)]
     net.kill(2)
     net.run(net.now + 3 * S)
     net.start(2)
@@ -215,9 +215,9 @@
         for bit in (1, 16, 128):
             changed = bytes([*data[:n], data[n] ^ bit, *data[n + 1 :]])
             try:
-                gram = wire.decode(changed)
+                datagram = wire.decode(changed)
             except wire.WireError:
                 continue
-            net.up[0].heard(net.now, gram, 1)
+            net.up[0].receive(net.now, datagram, 1)
     net.run(net.now + 20 * S)
     assert not falsely_dead(net) and net.agreed(range(6))
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_peer_reports.py
@@ -7,15 +7,22 @@
 from thorndale.emulator.fleet import Fleet
 from thorndale.emulator.sharing import Between
 from thorndale.fleet import wire
-from thorndale.fleet.wire import Word
-from thorndale.fleet.words import EXPIRY_US, HALF_LIFE_US, MAX_WEIGHT, MIN_WEIGHT, REPORT_INTERVAL_US, PeerReports
+from thorndale.fleet.peer_reports import (
+    EXPIRY_US,
+    HALF_LIFE_US,
+    MAX_WEIGHT,
+    MIN_WEIGHT,
+    REPORT_INTERVAL_US,
+    PeerReports,
+)
+from thorndale.fleet.wire import FailureReport
 from thorndale.policy import FAILED_LOG_ODDS
 
 IDS, SERVERS = list(range(100, 120)), [7, 8, 9, 10]
 
 
 def report(reporter, server=0, age_ms=0, answered=False, process_start_s=0):
-    return Word(SERVERS[server], IDS[reporter], process_start_s, age_ms, answered)
+    return FailureReport(SERVERS[server], IDS[reporter], process_start_s, age_ms, answered)
 
 
 def odds(reports, now, server=0):
@@ -27,11 +34,11 @@
 def test_three_reporters_make_a_server_avoided_and_one_never_does():
     reports = PeerReports(IDS, 0, SERVERS, 1, 0)
     for n in range(30):
-        reports.heard(n * S, [report(1)])
+        reports.receive(n * S, [report(1)])
     assert odds(reports, 30 * S) <= MAX_WEIGHT < FAILED_LOG_ODDS
-    reports.heard(30 * S, [report(2)])
+    reports.receive(30 * S, [report(2)])
     assert odds(reports, 30 * S) < FAILED_LOG_ODDS
-    reports.heard(30 * S, [report(3)])
+    reports.receive(30 * S, [report(3)])
     assert odds(reports, 30 * S) >= FAILED_LOG_ODDS and reports.changed_odds[-1][0] == 0
     assert odds(reports, 30 * S + HALF_LIFE_US) == pytest.approx(odds(reports, 30 * S) / 2, rel=0.2)
     assert odds(reports, 31 * S + EXPIRY_US) == 0 and not reports.active and reports.next_at() > 1 << 60
@@ -39,35 +46,37 @@
 
 def test_an_own_answer_overrides_all_reports_and_lowers_the_reporters_weight():
     reports = PeerReports(IDS, 0, SERVERS, 1, 0)
-    reports.heard(S, [report(n) for n in range(1, 9)])
+    reports.receive(S, [report(n) for n in range(1, 9)])
     assert odds(reports, S) >= FAILED_LOG_ODDS
     reports.record_outcome(2 * S, 0, True, False, 2 * S)
     assert odds(reports, 2 * S) == 0
     assert [w.answered for w in reports.outgoing] == [] and reports.reporter_weights[IDS[1]][0] == MAX_WEIGHT / 2
     for n in range(3, 30):  # contradicted each time, until all together have no effect any more
-        reports.heard(n * S, [report(t) for t in range(1, 9)])
+        reports.receive(n * S, [report(t) for t in range(1, 9)])
         reports.record_outcome(n * S + S // 2, 0, True, False, n * S + S // 2)
-    reports.heard(30 * S, [report(t) for t in range(1, 9)])
+    reports.receive(30 * S, [report(t) for t in range(1, 9)])
     assert odds(reports, 30 * S) < FAILED_LOG_ODDS / 2 and reports.reporter_weights[IDS[1]][0] >= MIN_WEIGHT
     assert reports._reporter_weight(30 * S + 5 * EXPIRY_US, IDS[1]) == MAX_WEIGHT  # full weight again minutes later
 
 
 def test_an_answer_to_a_peer_clears_earlier_losses_and_not_later_ones():
     reports = PeerReports(IDS, 0, SERVERS, 1, 0)
-    reports.heard(5 * S, [report(1, age_ms=4000), report(2, age_ms=3000), report(3, age_ms=100), report(4, age_ms=100)])
-    reports.heard(5 * S, [report(5, age_ms=1000, answered=True)])
+    reports.receive(
+        5 * S, [report(1, age_ms=4000), report(2, age_ms=3000), report(3, age_ms=100), report(4, age_ms=100)]
+    )
+    reports.receive(5 * S, [report(5, age_ms=1000, answered=True)])
     assert set(reports.states[0].losses) == {IDS[3], IDS[4]}
 
 
 def test_reports_are_forwarded_once_and_not_beyond_saturation():
     reports = PeerReports(IDS, 0, SERVERS, 1, 0)
-    reports.heard(S, [report(1)])
+    reports.receive(S, [report(1)])
     assert [w.reporter for w in reports.tick(S)] == [IDS[1]]
     for age in (0, 3, 40):
         # The same report on other paths, its age rounded.
-        reports.heard(S + age * 1000, [report(1, age_ms=max(0, age - 1))])
+        reports.receive(S + age * 1000, [report(1, age_ms=max(0, age - 1))])
     assert reports.tick(2 * S) == []
-    reports.heard(3 * S, [report(n) for n in range(2, 19)])
+    reports.receive(3 * S, [report(n) for n in range(2, 19)])
     assert len(reports.tick(3 * S)) < 8
     reports.record_outcome(3 * S, 0, False, True, 3 * S)
     assert reports.tick(3 * S) == []  # an own loss is not reported beyond saturation either
@@ -90,14 +99,18 @@
 
 def test_a_new_process_voids_reports_on_the_previous_one():
     reports = PeerReports(IDS, 0, SERVERS, 1, 0)
-    reports.heard(S, [report(n) for n in range(1, 9)])
+    reports.receive(S, [report(n) for n in range(1, 9)])
     assert odds(reports, S) >= FAILED_LOG_ODDS
-    reports.began(0, 1000)
+    reports.server_started(0, 1000)
     assert reports.states[0].module_odds == 0 and reports.changed_odds[-1] == (0, 0.0)
-    reports.heard(2 * S, [report(n) for n in range(1, 9)])  # on the previous process
-    reports.heard(2 * S, [report(1, process_start_s=1001)])  # on this process, a second apart by another proxy's clock
+    reports.receive(2 * S, [report(n) for n in range(1, 9)])  # on the previous process
+    reports.receive(
+        2 * S, [report(1, process_start_s=1001)]
+    )  # on this process, a second apart by another proxy's clock
     assert reports.count["void"] == 8 and list(reports.states[0].losses) == [IDS[1]]
-    reports.heard(2 * S, [Word(99, IDS[1], 0, 0, False), Word(SERVERS[1], 55, 0, 0, False), report(0)])
+    reports.receive(
+        2 * S, [FailureReport(99, IDS[1], 0, 0, False), FailureReport(SERVERS[1], 55, 0, 0, False), report(0)]
+    )
     assert not reports.states[1].losses  # unknown server; unknown member; its own report
 
 
@@ -110,7 +123,7 @@
         now = S + tick * S // 10
         if tick % 20 == 0:
             for n, reports in enumerate(fleet):
-                reports.heard(now, [report(t) for t in range(20) if t != n])
+                reports.receive(now, [report(t) for t in range(20) if t != n])
         for reports in fleet:
             reports.tick(now)
             if reports.states[0].trial_until > now:
@@ -163,22 +176,22 @@
 
         def falsify(now, outgoing, sharing=sharing):
             falsified = []
-            for to, gram in outgoing:
+            for to, datagram in outgoing:
                 ids = sharing.shares[0].words.servers
-                reports = [Word(s, gram.sender, 0, 0, False) for s in ids]
+                reports = [FailureReport(s, datagram.sender, 0, 0, False) for s in ids]
                 falsified.append(
                     (
                         to,
-                        wire.Gram(
-                            gram.version,
-                            gram.kind,
-                            gram.sender,
-                            gram.born,
-                            gram.incarnation,
-                            gram.number,
-                            gram.about,
-                            gram.news,
-                            gram.rows,
+                        wire.Datagram(
+                            datagram.version,
+                            datagram.kind,
+                            datagram.sender,
+                            datagram.boot_id,
+                            datagram.incarnation,
+                            datagram.number,
+                            datagram.about,
+                            datagram.updates,
+                            datagram.rows,
                             reports,
                         ),
                     )
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -12,7 +12,7 @@
 
 from thorndale.cli.fleet import app
 from thorndale.config.load import ConfigError, load
-from thorndale.fleet.view import by_server, differences, holdings, parts, views
+from thorndale.fleet.view import lease_views, leases_by_server, member_views, view_differences, view_groups
 from thorndale.standins.day import Player, leaks
 from thorndale.standins.links import LinkPlan
 from thorndale.standins.ports import reserve_port
@@ -91,10 +91,10 @@
         "cut {",
         '{"event": "other"}',
     ]
-    found, bad = views(lines)
+    found, bad = member_views(lines)
     assert bad == 2 and set(found) == {"a", "b", "old"}
-    assert parts(found) == [(["a"], frozenset("ab")), (["b"], frozenset("abc"))]
-    assert [row for row in differences(found) if row[0] == "c"] == [("c", {"dead": ["a"], "alive": ["b"]}, 110)]
+    assert view_groups(found) == [(["a"], frozenset("ab")), (["b"], frozenset("abc"))]
+    assert [row for row in view_differences(found) if row[0] == "c"] == [("c", {"dead": ["a"], "alive": ["b"]}, 110)]
 
 
 def test_the_view_shows_leases_held_and_refused(tmp_path):
@@ -112,8 +112,8 @@
         "cut {",
         "[]",
     ]
-    found = holdings(lines)
-    assert by_server(found) == [("box1", {"a": 2}, ["b"])] and found["a"].counts == counts
+    found = lease_views(lines)
+    assert leases_by_server(found) == [("box1", {"a": 2}, ["b"])] and found["a"].counts == counts
     (tmp_path / "a.log").write_text("\n".join(lines) + "\n")
     shown = CliRunner().invoke(app, ["view", str(tmp_path)])
     assert shown.exit_code == 0, shown.output
--- a/tests/fleet/test_rights.py
+++ b/tests/fleet/test_retry_leases.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from thorndale.fleet import rights as module
-from thorndale.fleet.rights import LeaseLedger, RetryLeases
-from thorndale.fleet.wire import CLOCK_STAMP, EARNED_UNITS, LEASE_REPLY, LEASE_REQUEST, Gram, LeaseRow
+from thorndale.fleet import retry_leases as module
+from thorndale.fleet.retry_leases import LeaseLedger, RetryLeases
+from thorndale.fleet.wire import CLOCK_STAMP, EARNED_UNITS, LEASE_REPLY, LEASE_REQUEST, Datagram, LeaseRow
 from thorndale.spread import measure
 
 S = 1_000_000
@@ -62,7 +62,9 @@
         core = self.up[m]
         for to, kind, about, number, rows in core.outbox:
             if (m, to) not in self.cut:
-                self.in_flight.append((m, to, Gram(2, kind, self.ids[m], core.born, 0, number, about, rows=rows)))
+                self.in_flight.append(
+                    (m, to, Datagram(2, kind, self.ids[m], core.boot_id, 0, number, about, rows=rows))
+                )
         core.outbox = []
         for _, until in core.decisions:
             if until:
@@ -76,19 +78,19 @@
             self.up[m].add_first_setup(self.clock(m), 0)
         self.firsts += [self.now] * count
 
-    def ask(self, m, wait):
+    def request_lease(self, m, wait):
         now = self.clock(m)
-        self.up[m].ask(now, 1, 0, now + wait)
+        self.up[m].request_lease(now, 1, 0, now + wait)
         self.collect(m)
 
     def deliver(self, at=0, keep=False):
         if not self.in_flight:
             return
         at %= len(self.in_flight)
-        a, b, gram = self.in_flight[at]
+        a, b, datagram = self.in_flight[at]
         if not keep:
             del self.in_flight[at]
-        self.up[b].heard(self.clock(b), gram, a)
+        self.up[b].receive(self.clock(b), datagram, a)
         self.collect(b)
 
     def pass_time(self, us):
@@ -125,7 +127,7 @@
             world.first(m, draw.choice((1, 10, 30, 80)))
         elif what < 0.45:
             for _ in range(draw.choice((1, 1, 6))):
-                world.ask(m, draw.choice((0, 0, 50_000, 600_000)))
+                world.request_lease(m, draw.choice((0, 0, 50_000, 600_000)))
         elif what < 0.7:
             world.deliver(draw.randrange(1000), draw.random() < 0.2)
         elif what < 0.73 and world.in_flight:
@@ -156,7 +158,7 @@
             world.first(m, draw.choice((1, 10, 30, 80)))
         elif what < 0.6:
             for _ in range(draw.choice((1, 1, 6))):
-                world.ask(m, draw.choice((0, 0, 50_000, 600_000)))
+                world.request_lease(m, draw.choice((0, 0, 50_000, 600_000)))
         else:
             for _ in range(draw.choice((1, 5, 30, 80))):
                 world.pass_time(S // 10)
@@ -198,7 +200,7 @@
             self.grants.clear() if not self.units else None,
         ),
     ),
-    "copies counted": (RetryLeases, "_is_new", lambda self, gram, sender, place: gram.about == self.born),
+    "copies counted": (RetryLeases, "_is_new", lambda self, datagram, sender, place: datagram.about == self.boot_id),
     "units dated on arrival": (
         LeaseLedger,
         "add",
@@ -234,9 +236,9 @@
         self.world.first(m % self.world.n, count)
 
     @rule(m=st.integers(0, 3), wait=st.sampled_from((0, 100_000, 1_500_000)), times=st.integers(1, 8))
-    def ask(self, m, wait, times):
+    def request_lease(self, m, wait, times):
         for _ in range(times):
-            self.world.ask(m % self.world.n, wait)
+            self.world.request_lease(m % self.world.n, wait)
 
     @precondition(lambda self: self.world.in_flight)
     @rule(at=st.integers(0, 50), keep=st.booleans())
@@ -266,7 +268,7 @@
     steps = [
         lambda w: w.first(0, 30),
         lambda w: w.first(1, 40),
-        lambda w: [w.ask(m, 600_000) for m in (0, 1, 0, 1)],
+        lambda w: [w.request_lease(m, 600_000) for m in (0, 1, 0, 1)],
         lambda w: w.deliver(0),
         lambda w: w.deliver(0, keep=True),
         lambda w: w.in_flight and w.in_flight.popleft(),
@@ -285,7 +287,7 @@
             steps[at % len(steps)](world)
             at //= len(steps)
         for m in (0, 1) * 5:
-            world.ask(m, 0)
+            world.request_lease(m, 0)
         while world.in_flight:
             world.deliver()
         assert world.over() <= 0, path
@@ -299,7 +301,7 @@
     for _ in range(400):
         for m in (0, 1, 3):
             world.first(m, 1)
-        world.ask(1, 20_000)
+        world.request_lease(1, 20_000)
         for _ in range(2):
             while world.in_flight:
                 world.deliver()
@@ -317,13 +319,13 @@
     world.pass_time(2 * S)
     for _ in range(8):
         for m in range(3):
-            world.ask(m, 0)
+            world.request_lease(m, 0)
     by = [sum(u.count["given"] for u in (world.up[m],)) for m in range(3)]
     assert by[owner] == 6 and sorted(by) == [3, 3, 6]  # the others leave the units that the floor is worth
     other = World(3, 8, ages=True)
     for m in range(3):
         for _ in range(5):
-            other.ask(m, 0)
+            other.request_lease(m, 0)
     other.settle()
     assert sum(u.count["given"] for u in other.up) == 3  # without first set-ups only the floor is granted, once
 
@@ -338,32 +340,34 @@
     world.pass_time(S)
     while world.in_flight:
         world.deliver()
-    now, born = world.clock(coordinator), world.up[faulty].born
+    now, boot_id = world.clock(coordinator), world.up[faulty].boot_id
     for n in range(50):
-        core.heard(
+        core.receive(
             now,
-            Gram(
+            Datagram(
                 2,
                 EARNED_UNITS,
                 world.ids[faulty],
-                born,
+                boot_id,
                 0,
                 10_000 + n,
-                core.born,
+                core.boot_id,
                 rows=[LeaseRow(77, now + 999 * S, 1000)],
             ),
             faulty,
         )
     for rows in ([LeaseRow(77, now, 5000)], [LeaseRow(12345, now, 5)]):  # too many units; unknown server
-        core.heard(
-            now, Gram(2, EARNED_UNITS, world.ids[faulty], born, 0, 30_000 - rows[0].b, core.born, rows=rows), faulty
+        core.receive(
+            now,
+            Datagram(2, EARNED_UNITS, world.ids[faulty], boot_id, 0, 30_000 - rows[0].b, core.boot_id, rows=rows),
+            faulty,
         )
-    core.heard(
+    core.receive(
         now,
-        Gram(2, LEASE_REQUEST, world.ids[faulty], born, 0, 30_000, core.born, rows=[LeaseRow(77, 99 * S, 0)]),
+        Datagram(2, LEASE_REQUEST, world.ids[faulty], boot_id, 0, 30_000, core.boot_id, rows=[LeaseRow(77, 99 * S, 0)]),
         faulty,
     )
-    core.heard(now, Gram(2, LEASE_REQUEST, world.ids[faulty], born, 0, 30_001, core.born), faulty)
+    core.receive(now, Datagram(2, LEASE_REQUEST, world.ids[faulty], boot_id, 0, 30_001, core.boot_id), faulty)
     assert core.count["absurd"] == 4
     given = sum(core._grant(now, 0, 1000) for _ in range(100))
     assert 10 <= given <= 20
@@ -372,7 +376,7 @@
 def test_state_is_released_once_it_has_expired():
     world = World(3, 2)
     world.first(0, 100)
-    world.ask(1, 0)
+    world.request_lease(1, 0)
     world.settle()
     world.pass_time(30 * S)
     assert all(not u.ledgers and not u.unsent_units and not u.pending for u in world.up)
--- a/thorndale/call/border.py
+++ b/thorndale/call/border.py
@@ -329,10 +329,10 @@
         """Passes the batch of events to the module and carries its actions out, until there are no new events."""
         host = self.module_host
         while host.events:
-            snapshot = self.fleet.before(host.events) if self.fleet else ()
+            snapshot = self.fleet.odds_before(host.events) if self.fleet else ()
             actions = host.run_batch(now)
             if snapshot:
-                self.fleet.met(now, snapshot)
+                self.fleet.record_outcomes(now, snapshot)
             for action in actions:
                 kind = type(action)
                 if kind is io.SetTimer:
@@ -349,10 +349,10 @@
                 else:
                     call = host.calls[action.call]
                     if kind is io.RequestLease:
-                        self.fleet.ask(now, action)
+                        self.fleet.request_lease(now, action)
                     elif kind is io.Seize:
                         if self.fleet:
-                            self.fleet.seized(now, action)
+                            self.fleet.record_seizure(now, action)
                         self.tally.count_setup(self.wall_us(), action.server)
                         call.seize(now, action.server, action.timeout_us)
                     elif kind is io.Cancel:
--- a/thorndale/cli/explain.py
+++ b/thorndale/cli/explain.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from thorndale.config.load import ConfigError, shaped
-from thorndale.daemon.keep import replace
+from thorndale.daemon.book_file import replace
 from thorndale.match.facts import Facts
 from thorndale.match.faults import MatchError
 from thorndale.match.fmt import formatted
--- a/thorndale/cli/fleet.py
+++ b/thorndale/cli/fleet.py
@@ -8,7 +8,7 @@
 import typer
 
 from thorndale.cli.balance import files
-from thorndale.fleet.view import STALE_S, by_server, differences, holdings, parts, views
+from thorndale.fleet.view import STALE_S, lease_views, leases_by_server, member_views, view_differences, view_groups
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="The fleet as its proxies see it.")
 NAMED = 12  # names of one row that are written out
@@ -36,9 +36,9 @@
     for path in files(places):
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
-                seen, bad = views(file)
+                seen, bad = member_views(file)
                 file.seek(0)
-                rights |= holdings(file)
+                rights |= lease_views(file)
         except OSError as fault:
             typer.echo(f"{path}: cannot be read: {fault.strerror}", err=True)
             useless += 1
@@ -52,14 +52,14 @@
     if not found:
         raise typer.Exit(2)
     newest = max(seen.second for seen in found.values())
-    groups = parts(found)
+    groups = view_groups(found)
     typer.echo(
         f"{len(found)} proxies, last heard {_clock(newest)} UTC, "
         + ("all see the same" if len(groups) == 1 else f"{len(groups)} different views")
     )
     for proxies, there in groups:
         typer.echo(f"  {len(proxies)} proxies ({_names(proxies)}) see {len(there)}: {_names(there)}")
-    for member, states, since in differences(found):
+    for member, states, since in view_differences(found):
         shown = "; ".join(f"{state} to {len(p)} ({_names(p)})" for state, p in sorted(states.items()))
         typer.echo(f"{member}: {shown}; since {_clock(since)}")
     for proxy, seen in sorted(found.items()):
@@ -80,7 +80,7 @@
             f"{total['unheard']} without an answer; most refused at "
             + _names(sorted(asked, key=lambda p: -asked[p].get("refused", 0))[:3])
         )
-    for server, held, shut in by_server(rights):
+    for server, held, shut in leases_by_server(rights):
         holders = sorted(held, key=lambda p: -held[p])
         typer.echo(
             f"{server}: "
--- a/thorndale/daemon/fleet.py
+++ b/thorndale/daemon/fleet.py
@@ -6,8 +6,8 @@
 from thorndale import interface as io
 from thorndale.config.load import listener
 from thorndale.fleet import wire
+from thorndale.fleet.exchange import FleetExchange
 from thorndale.fleet.members import STATES
-from thorndale.fleet.share import Share
 from thorndale.net.clock import now_us
 from thorndale.net.udp import Udp
 
@@ -37,7 +37,7 @@
             error.filename = fleet.listen
             raise
         self.border, self.arm_border, self.server_names = border, arm, [s.name for s in settings.servers]
-        self.exchange = Share(
+        self.exchange = FleetExchange(
             names,
             names.index(settings.name),
             self.server_names,
@@ -58,23 +58,23 @@
 
     # ---- reports from the border ----
 
-    def before(self, events):
+    def odds_before(self, events):
         for event in events:
             if type(event) is io.Servers:
                 for entry in event.entries:
                     at = entry.started_us + self.border.wall_offset_us if entry.started_us else 0
-                    self.exchange.began(entry.server, max(0, at) // 1_000_000)
-        return self.exchange.before(events, self.module)
+                    self.exchange.server_started(entry.server, max(0, at) // 1_000_000)
+        return self.exchange.odds_before(events, self.module)
 
-    def met(self, now, before):
-        self.exchange.met(now, before, self.module)
+    def record_outcomes(self, now, odds_before):
+        self.exchange.record_outcomes(now, odds_before, self.module)
         self._arm()
 
-    def seized(self, now, action):
-        self.exchange.seized(now, action.server, action.first)
+    def record_seizure(self, now, action):
+        self.exchange.record_seizure(now, action.server, action.first)
 
-    def ask(self, now, action):
-        self._send(self.exchange.ask(now, action.call, action.server, action.resume_us))
+    def request_lease(self, now, action):
+        self._send(self.exchange.request_lease(now, action.call, action.server, action.resume_us))
         self._arm()
 
     # ---- messages from other proxies ----
@@ -86,13 +86,13 @@
             self._log_bad_datagram("unlisted sender", hop)
             return
         try:
-            gram = wire.decode(data)
+            datagram = wire.decode(data)
         except wire.WireError as error:
             self.count["unreadable"] += 1
             self._log_bad_datagram(str(error), hop)
             return
         self.count["heard"] += 1
-        self._send(self.exchange.heard(now_us(), gram, sender))
+        self._send(self.exchange.receive(now_us(), datagram, sender))
 
     def _log_bad_datagram(self, reason, hop):
         now = time.monotonic()
@@ -103,8 +103,8 @@
         self.last_complaint_at, self.left_out = now, 0
 
     def _send(self, outgoing):
-        for member, gram in outgoing:
-            data = wire.encode(gram)
+        for member, datagram in outgoing:
+            data = wire.encode(datagram)
             host, port = self.member_addresses[member]
             self.udp.sock_send(host, port, data)
             self.count["sent"] += 1
@@ -122,14 +122,14 @@
     def _schedule_delivery(self):
         """Schedules the delivery of pending events to the border in a separate iteration of the event loop, because the
         border may still be processing the action that caused them."""
-        if not self.delivery_scheduled and self.exchange.waiting():
+        if not self.delivery_scheduled and self.exchange.has_events():
             self.delivery_scheduled = True
             self.loop.call_soon(self._deliver_events)
 
     def _deliver_events(self):
         self.delivery_scheduled = False
         if not self.closed:
-            self.border.deliver_events(now_us(), self.exchange.events())
+            self.border.deliver_events(now_us(), self.exchange.take_events())
             self.arm_border()
             self._arm()
 
--- a/thorndale/daemon/run.py
+++ b/thorndale/daemon/run.py
@@ -12,7 +12,7 @@
 from thorndale import signals
 from thorndale.call.border import Border
 from thorndale.config.load import ConfigError, listener, matching
-from thorndale.daemon import keep
+from thorndale.daemon import book_file
 from thorndale.daemon.log import open_log
 from thorndale.net.clock import now_us
 from thorndale.net.transport import TransportLayer
@@ -43,7 +43,7 @@
     listeners = [listener(text) for text in settings.listen]
     ends = TransportLayer(loop, settings.limits)
     book_path = settings.book.file if settings.book else ""
-    book_writer = keep.BookFileWriter(loop, book_path, log_event)
+    book_writer = book_file.BookFileWriter(loop, book_path, log_event)
     seed = secrets.randbits(64)
     offset = time.time_ns() // 1000 - now_us()
     try:
@@ -103,7 +103,7 @@
     lag_monitor = loop.create_task(_monitor_lag(border))
     reloader = loop.create_task(_reload(reload_requested, settings, path, border, log_event))
     try:
-        border.start(now_us(), keep.read(book_path, log_event))
+        border.start(now_us(), book_file.read(book_path, log_event))
         ends.arm()
         log_event("info", "started", listen=settings.listen, pid=os.getpid())
         ready()
--- a/thorndale/emulator/fleet.py
+++ b/thorndale/emulator/fleet.py
@@ -202,17 +202,17 @@
             return
         sharing = self.sharing
         while door.events:
-            before = sharing.before(host, door.events) if sharing else ()
+            odds_before = sharing.odds_before(host, door.events) if sharing else ()
             actions = door.run_batch(self.now)
-            if before:
-                sharing.met(host, before)
+            if odds_before:
+                sharing.record_outcomes(host, odds_before)
             for action in actions:
                 kind = type(action)
                 if kind is io.RequestLease:
-                    sharing.ask(host, action)
+                    sharing.request_lease(host, action)
                     continue
                 if kind is io.Seize and sharing:
-                    sharing.seized(host, action)
+                    sharing.record_seizure(host, action)
                 if kind is io.SetTimer:
                     self._at(max(action.at_us, self.now + 1), self._timer, host)
                 elif kind is not io.Log and kind is not io.SubscribeList:
--- a/thorndale/emulator/gossip.py
+++ b/thorndale/emulator/gossip.py
@@ -60,8 +60,8 @@
         self.up[k].changes.clear()
 
     def send(self, k, out):
-        for to, gram in out:
-            data = wire.encode(gram)
+        for to, datagram in out:
+            data = wire.encode(datagram)
             self.sent, self.bytes, self.most = self.sent + 1, self.bytes + len(data), max(self.most, len(data))
             for wait in self.link(self.now, k, to, self.rand.random):
                 self._at(self.now + wait, self._arrive, k, to, data)
@@ -72,7 +72,7 @@
         if self.halted[to] > self.now:
             self._at(self.halted[to], self._arrive, sender, to, data)
             return
-        self.send(to, self.up[to].heard(self.now, wire.decode(data), sender))
+        self.send(to, self.up[to].receive(self.now, wire.decode(data), sender))
         self._changes(to)
 
     def run(self, until_us):
--- a/thorndale/emulator/sharing.py
+++ b/thorndale/emulator/sharing.py
@@ -8,7 +8,7 @@
 
 from thorndale import interface as io
 from thorndale.fleet import wire
-from thorndale.fleet.share import Share
+from thorndale.fleet.exchange import FleetExchange
 from thorndale.spread import measure
 
 WALL_S = 1_800_000_000
@@ -38,7 +38,7 @@
         self.names = [f"proxy{n}" for n in range(len(fleet.hosts))]
         servers = [f"box{s.number}" for s in fleet.servers]
         self.shares = [
-            Share(
+            FleetExchange(
                 self.names,
                 n,
                 servers,
@@ -60,27 +60,27 @@
 
     # ---- what a proxy does ----
 
-    def before(self, host, events):
+    def odds_before(self, host, events):
         share = self.shares[host.number]
         for event in events:
             if type(event) is io.Servers:
                 for entry in event.entries:
-                    share.began(entry.server, entry.started_us // 1_000_000)
-        return share.before(events, self._module(host))
+                    share.server_started(entry.server, entry.started_us // 1_000_000)
+        return share.odds_before(events, self._module(host))
 
     def _module(self, host):
         return getattr(host.core, "module", host.core)
 
-    def met(self, host, before):
-        self.shares[host.number].met(self.fleet.now, before, self._module(host))
+    def record_outcomes(self, host, odds_before):
+        self.shares[host.number].record_outcomes(self.fleet.now, odds_before, self._module(host))
         self._arm(host.number)
 
-    def seized(self, host, action):
-        self.shares[host.number].seized(self.fleet.now, action.server, action.first)
+    def record_seizure(self, host, action):
+        self.shares[host.number].record_seizure(self.fleet.now, action.server, action.first)
 
-    def ask(self, host, action):
+    def request_lease(self, host, action):
         n = host.number
-        self._send(n, self.shares[n].ask(self.fleet.now, action.call, action.server, action.resume_us))
+        self._send(n, self.shares[n].request_lease(self.fleet.now, action.call, action.server, action.resume_us))
         self._tell(n)
         self._arm(n)
 
@@ -96,8 +96,8 @@
     def _send(self, n, out):
         fleet = self.fleet
         lie = self.liars.get(n)
-        for to, gram in lie(fleet.now, out) if lie else out:
-            data = wire.encode(gram)
+        for to, datagram in lie(fleet.now, out) if lie else out:
+            data = wire.encode(datagram)
             self.sent, self.bytes = self.sent + 1, self.bytes + len(data)
             copies, wait = 1, int(1_000 + 4_000 * self.chance.random())
             for link in self.links:
@@ -113,12 +113,12 @@
         if until > fleet.now:
             fleet._at(until, self._arrive, sender, to, data)
             return
-        self._send(to, self.shares[to].heard(fleet.now, wire.decode(data), sender))
+        self._send(to, self.shares[to].receive(fleet.now, wire.decode(data), sender))
         self._tell(to)
         self._arm(to)
 
     def _tell(self, n):
-        if self.shares[n].waiting():
+        if self.shares[n].has_events():
             self.fleet._after(0, self._told, n)
 
     def _told(self, n):
@@ -126,7 +126,7 @@
         if host.until > self.fleet.now:
             self.fleet._at(host.until, self._told, n)
             return
-        for event in self.shares[n].events():
+        for event in self.shares[n].take_events():
             host.door.add_event(event)
         self.fleet._flush(host)
 
--- a/thorndale/fleet/share.py
+++ b/thorndale/fleet/exchange.py
@@ -11,21 +11,23 @@
 from thorndale import interface as io
 from thorndale.fleet import wire
 from thorndale.fleet.members import ALIVE, Members
-from thorndale.fleet.rights import RetryLeases
-from thorndale.fleet.words import PeerReports
+from thorndale.fleet.peer_reports import PeerReports
+from thorndale.fleet.retry_leases import RetryLeases
 
 # Members that a report is sent to at once. Four would reach the last few sooner, and send all others twice more.
 FANOUT = 3
 ANSWER_OUTCOMES = (io.BUSY, io.FULL, io.EMPTY)  # outcomes of a set-up that show a working server
 
 
-class Share:
-    def __init__(self, names, own, servers, seed, now, born, incarnation, rights=True, words=True):
-        self.members = Members(names, own, seed, now, born, incarnation)
+class FleetExchange:
+    def __init__(self, names, own, servers, seed, now, boot_id, incarnation, rights=True, words=True):
+        self.members = Members(names, own, seed, now, boot_id, incarnation)
         ids, server_ids = self.members.ids, [wire.member_id(name) for name in servers]
         self.own = own
         # None where the setting of the same name disables them.
-        self.rights = RetryLeases(ids, own, server_ids, seed >> 7, now, born, self._not_known_gone) if rights else None
+        self.rights = (
+            RetryLeases(ids, own, server_ids, seed >> 7, now, boot_id, self._not_known_gone) if rights else None
+        )
         self.words = PeerReports(ids, own, server_ids, seed >> 13, now) if words else None
         self.name_conflicts = 0
 
@@ -39,17 +41,17 @@
 
     # ---- this proxy's actions ----
 
-    def seized(self, now, server, first):
+    def record_seizure(self, now, server, first):
         if first and self.rights:
             self.rights.add_first_setup(now, server)
 
-    def ask(self, now, call, server, resume):
+    def request_lease(self, now, call, server, resume):
         if self.rights is None:
             return []
-        self.rights.ask(now, call, server, resume)
+        self.rights.request_lease(now, call, server, resume)
         return self._lease_datagrams(now)
 
-    def before(self, events, module):
+    def odds_before(self, events, module):
         """The module's failure log odds of the events' servers before it receives the events, for `record_outcomes`."""
         if self.words is None:
             return []
@@ -59,10 +61,10 @@
             if type(e) in (io.Answered, io.SeizureEnded) and e.server < len(module.failure_log_odds)
         ]
 
-    def met(self, now, before, module):
+    def record_outcomes(self, now, odds_before, module):
         """Called after the module received those events. A set-up that raised the server's odds is a loss; any other
         may be an answer."""
-        for event, score in before:
+        for event, score in odds_before:
             if (
                 type(event) is io.SeizureEnded and event.outcome == io.FAULTY
             ):  # an answer, and as often caused by the caller
@@ -71,14 +73,14 @@
             lost = module.failure_log_odds[event.server] > score
             self.words.record_outcome(now, event.server, answered and not lost, lost, now - event.latency_us)
 
-    def began(self, server, process_start_s):
+    def server_started(self, server, process_start_s):
         if self.words:
-            self.words.began(server, process_start_s)
+            self.words.server_started(server, process_start_s)
 
-    def waiting(self):
+    def has_events(self):
         return bool(self.rights and self.rights.decisions or self.words and self.words.changed_odds)
 
-    def events(self):
+    def take_events(self):
         events = []
         if self.rights and self.rights.decisions:
             events += [io.RetryLease(call, until) for call, until in self.rights.decisions]
@@ -90,14 +92,14 @@
 
     # ---- receiving and timers ----
 
-    def heard(self, now, gram, sender):
-        outgoing = self.members.heard(now, gram, sender)
-        if gram.sender != self.members.ids[sender] or gram.born != self.members.born[sender]:
+    def receive(self, now, datagram, sender):
+        outgoing = self.members.receive(now, datagram, sender)
+        if datagram.sender != self.members.ids[sender] or datagram.boot_id != self.members.boot_id[sender]:
             return outgoing  # not from its claimed sender, or from a previous process of that name
-        if gram.reports and self.words:
-            self.words.heard(now, gram.reports)
-        if gram.kind in (wire.EARNED_UNITS, wire.CLOCK_STAMP, wire.LEASE_REQUEST, wire.LEASE_REPLY) and self.rights:
-            self.rights.heard(now, gram, sender)
+        if datagram.reports and self.words:
+            self.words.receive(now, datagram.reports)
+        if datagram.kind in (wire.EARNED_UNITS, wire.CLOCK_STAMP, wire.LEASE_REQUEST, wire.LEASE_REPLY) and self.rights:
+            self.rights.receive(now, datagram, sender)
         return outgoing + self._lease_datagrams(now)
 
     def next_at(self):
@@ -137,11 +139,11 @@
 
     def _make_datagram(self, kind, number, about, rows=(), reports=()):
         members, own = self.members, self.own
-        return wire.Gram(
+        return wire.Datagram(
             wire.VERSION,
             kind,
             members.ids[own],
-            members.born[own],
+            members.boot_id[own],
             members.incarnation[own],
             number,
             about,
--- a/thorndale/fleet/members.py
+++ b/thorndale/fleet/members.py
@@ -31,7 +31,7 @@
     PROBE,
     SUSPECT,
     VERSION,
-    Gram,
+    Datagram,
     MembershipUpdate,
     member_id,
 )
@@ -53,16 +53,16 @@
 
 
 class Members:
-    def __init__(self, names, own, seed, now, born, incarnation):
+    def __init__(self, names, own, seed, now, boot_id, incarnation):
         self.names, self.own, self.now, self.random_state = list(names), own, now, seed & (1 << 64) - 1
         self.ids = [member_id(name) for name in names]
         self.index = {wire: n for n, wire in enumerate(self.ids)}
         n = len(self.names)
-        self.state, self.incarnation, self.born = [UNKNOWN] * n, [0] * n, [0] * n
+        self.state, self.incarnation, self.boot_id = [UNKNOWN] * n, [0] * n, [0] * n
         self.state_since = [now] * n  # start of the current state
-        self.state[own], self.incarnation[own], self.born[own] = ALIVE, incarnation, born
+        self.state[own], self.incarnation[own], self.boot_id[own] = ALIVE, incarnation, boot_id
         self.suspect_until = [0] * n  # end of a suspicion
-        self.news = {}  # member: transmissions of its latest update
+        self.updates = {}  # member: transmissions of its latest update
         self.probe_queue, self.reconnect_queue = [], []  # members to probe next: present ones, and dead or unknown ones
         self.number, self.slowness, self.periods = 0, 0, 0
         self.probe = None  # (member, number, deadline of the next repetition, end of the period)
@@ -87,20 +87,24 @@
         fewest transmissions."""
         first = [to] if self.state[to] in (SUSPECT, DEAD) else []
         max_sends = int(RETRANSMIT_FACTOR * self.log_size) + 1
-        rest = sorted((m for m in self.news if m not in first), key=lambda m: (self.news[m], self.ids[m] ^ number))
+        rest = sorted(
+            (m for m in self.updates if m not in first), key=lambda m: (self.updates[m], self.ids[m] ^ number)
+        )
         selected = (first + rest)[:MAX_UPDATES]
         for m in selected:
-            if m in self.news:
-                self.news[m] += 1
-                if self.news[m] >= max_sends:
-                    del self.news[m]
-        news = [MembershipUpdate(self.ids[m], self.born[m], self.incarnation[m], self.state[m]) for m in selected]
+            if m in self.updates:
+                self.updates[m] += 1
+                if self.updates[m] >= max_sends:
+                    del self.updates[m]
+        updates = [MembershipUpdate(self.ids[m], self.boot_id[m], self.incarnation[m], self.state[m]) for m in selected]
         own = self.own
-        return Gram(VERSION, kind, self.ids[own], self.born[own], self.incarnation[own], number, self.ids[about], news)
+        return Datagram(
+            VERSION, kind, self.ids[own], self.boot_id[own], self.incarnation[own], number, self.ids[about], updates
+        )
 
     def _queue_update(self, member):
         if self.state[member] != UNKNOWN:
-            self.news[member] = 0
+            self.updates[member] = 0
 
     def _set_state(self, member, state, why):
         if self.state[member] != state:
@@ -120,39 +124,39 @@
 
     # ---- receiving ----
 
-    def heard(self, now, gram, sender):
+    def receive(self, now, datagram, sender):
         """Handles a datagram from listed member `sender`."""
         self.now = self.last_received_at = now
-        if gram.sender != self.ids[sender] or sender == self.own:
+        if datagram.sender != self.ids[sender] or sender == self.own:
             self.count["stale"] += 1
             return []
-        self._apply_update(sender, gram.born, gram.incarnation, ALIVE, sender)
-        for update in gram.news:
+        self._apply_update(sender, datagram.boot_id, datagram.incarnation, ALIVE, sender)
+        for update in datagram.updates:
             member = self.index.get(update.member)
             if member is None:
                 self.count["unlisted"] += 1
             else:
-                self._apply_update(member, update.born, update.incarnation, update.state, sender)
-        if gram.kind > INDIRECT_PROBE:  # lease messages and failure reports only show that the sender is alive
+                self._apply_update(member, update.boot_id, update.incarnation, update.state, sender)
+        if datagram.kind > INDIRECT_PROBE:  # lease messages and failure reports only show that the sender is alive
             return []
-        if gram.kind == PROBE:
-            return [(sender, self._make_datagram(ACK, gram.number, self.own, sender))]
-        if gram.kind == INDIRECT_PROBE:
-            about = self.index.get(gram.about)
+        if datagram.kind == PROBE:
+            return [(sender, self._make_datagram(ACK, datagram.number, self.own, sender))]
+        if datagram.kind == INDIRECT_PROBE:
+            about = self.index.get(datagram.about)
             if about is None or about in (self.own, sender):
                 return []
             self.number += 1
-            self.relayed_probes[self.number] = (sender, gram.number, now + PROBE_PERIOD_US)
+            self.relayed_probes[self.number] = (sender, datagram.number, now + PROBE_PERIOD_US)
             return [(about, self._make_datagram(PROBE, self.number, about, about))]
-        if gram.number in self.relayed_probes:  # an ACK
-            requester, number, _ = self.relayed_probes.pop(gram.number)
+        if datagram.number in self.relayed_probes:  # an ACK
+            requester, number, _ = self.relayed_probes.pop(datagram.number)
             return [(requester, self._make_datagram(ACK, number, sender, requester))]
-        if self.probe is not None and gram.number == self.probe[1] and gram.about == self.ids[self.probe[0]]:
+        if self.probe is not None and datagram.number == self.probe[1] and datagram.about == self.ids[self.probe[0]]:
             self.probe = (self.probe[0], self.probe[1], -1, self.probe[3])  # a negative deadline marks it as answered
             self.slowness = max(0, self.slowness - 1)
         return []
 
-    def _apply_update(self, member, born, incarnation, state, reporter):
+    def _apply_update(self, member, boot_id, incarnation, state, reporter):
         """Applies an update on a member. The higher incarnation wins, within one incarnation the worse state. An update
         on this member itself that is not its own is refuted with a higher incarnation, whoever sent it."""
         if (
@@ -164,11 +168,11 @@
         if member == self.own:
             own_incarnation = self.incarnation[member]
             if incarnation > own_incarnation or (
-                incarnation == own_incarnation and (state != ALIVE or born != self.born[member])
+                incarnation == own_incarnation and (state != ALIVE or boot_id != self.boot_id[member])
             ):
                 self.incarnation[member] = incarnation + 1
-                self.count["refuted" if born == self.born[member] else "twice"] += 1
-                if born != self.born[member] and state == ALIVE:
+                self.count["refuted" if boot_id == self.boot_id[member] else "twice"] += 1
+                if boot_id != self.boot_id[member] and state == ALIVE:
                     self.changes.append((self.now, member, "named twice or begun anew", self.names[reporter]))
                 self._queue_update(member)
             return
@@ -180,9 +184,9 @@
             if direct and incarnation < known_incarnation:
                 self._queue_update(member)  # it has not received the update on itself yet
             return
-        if self.born[member] and born != self.born[member] and state == ALIVE:
+        if self.boot_id[member] and boot_id != self.boot_id[member] and state == ALIVE:
             self.changes.append((self.now, member, "begun anew", self.names[reporter]))
-        self.incarnation[member], self.born[member] = incarnation, born
+        self.incarnation[member], self.boot_id[member] = incarnation, boot_id
         if state == SUSPECT:
             self._start_suspicion(member, reporter, "reported")
         else:
--- a/thorndale/fleet/words.py
+++ b/thorndale/fleet/peer_reports.py
@@ -25,7 +25,7 @@
 (Buchegger and Le Boudec 2004: no second-hand report overrides one's own experience).
 """
 
-from thorndale.fleet.wire import WORDS_MOST, Word
+from thorndale.fleet.wire import MAX_REPORTS, FailureReport
 from thorndale.policy import FAILED_LOG_ODDS
 
 MAX_WEIGHT, MIN_WEIGHT = 1.5, 0.1  # limits of one reporter's log odds: three reporters are needed, and suffice
@@ -85,7 +85,7 @@
 
     # ---- this proxy's observations ----
 
-    def began(self, server, process_start_s):
+    def server_started(self, server, process_start_s):
         """A process of the server that started at wall second `process_start_s`, 0 for long ago."""
         state = self.states[server]
         if state.process_start_s != process_start_s:
@@ -121,14 +121,14 @@
 
     def _queue_report(self, now, server, reporter, at, answered):
         age_ms = min((1 << 20) - 1, max(0, now - at) // 1000)
-        report = Word(self.servers[server], reporter, self.states[server].process_start_s, age_ms, answered)
-        if len(self.outgoing) < WORDS_MOST:  # further losses are reported by other proxies too
+        report = FailureReport(self.servers[server], reporter, self.states[server].process_start_s, age_ms, answered)
+        if len(self.outgoing) < MAX_REPORTS:  # further losses are reported by other proxies too
             self.outgoing.append(report)
         self._schedule_tick(now)
 
     # ---- peers' reports ----
 
-    def heard(self, now, reports):
+    def receive(self, now, reports):
         for report in reports:
             server = self.index.get(report.server)
             if server is None or report.reporter == self.own or report.reporter not in self.ids:
--- a/thorndale/fleet/rights.py
+++ b/thorndale/fleet/retry_leases.py
@@ -94,7 +94,7 @@
     """State of the exchange with one coordinator: its process, the least lead of its clock over this one and when that
     was determined, when the oldest unanswered message was sent, and when it was last contacted while unreachable."""
 
-    born: int = 0
+    boot_id: int = 0
     clock_lead: int = 0
     updated_at: int = 0
     unanswered_since: int = 0
@@ -109,9 +109,9 @@
 
 
 class RetryLeases:
-    def __init__(self, ids, own, servers, seed, now, born, is_present):
+    def __init__(self, ids, own, servers, seed, now, boot_id, is_present):
         """`ids`: the members' wire ids; `servers`: the servers' wire ids by index; `is_present(member)`."""
-        self.ids, self.own, self.born, self.is_present, self.started_at = ids, own, born, is_present, now
+        self.ids, self.own, self.boot_id, self.is_present, self.started_at = ids, own, boot_id, is_present, now
         self.servers, self.index = servers, {wire: n for n, wire in enumerate(servers)}
 
         def weight(server, member):
@@ -167,7 +167,7 @@
 
     def _is_unreachable(self, now, member):
         """Whether a coordinator does not answer, or has not answered yet: then earned units are kept here."""
-        return member not in self.links or not self.links[member].born or self._is_unanswered(now, member)
+        return member not in self.links or not self.links[member].boot_id or self._is_unanswered(now, member)
 
     # ---- this proxy's set-ups and retries ----
 
@@ -178,7 +178,7 @@
         else:
             self.unsent_units.setdefault(server, []).append((now, 1))
 
-    def ask(self, now, call, server, resume):
+    def request_lease(self, now, call, server, resume):
         until = max(now, resume) + LEASE_SLACK_US
         lease = until - now
         self.count["asked"] += 1
@@ -205,76 +205,89 @@
         link = self.links.get(member, CoordinatorLink())
         if kind in (EARNED_UNITS, LEASE_REQUEST) and not link.unanswered_since:
             self.links[member] = link._replace(unanswered_since=now)
-        self.outbox.append((member, kind, link.born, number, rows))
+        self.outbox.append((member, kind, link.boot_id, number, rows))
 
     # ---- receiving ----
 
-    def heard(self, now, gram, sender):
-        if gram.kind == EARNED_UNITS:
-            self._receive_units(now, gram, sender)
-        elif gram.kind == CLOCK_STAMP:
-            self._receive_clock(now, gram, sender)
-        elif gram.kind == LEASE_REQUEST:
-            self._receive_request(now, gram, sender)
-        elif gram.kind == LEASE_REPLY:
-            self._receive_reply(now, gram, sender)
-
-    def _is_new(self, gram, sender, counter_index):
+    def receive(self, now, datagram, sender):
+        if datagram.kind == EARNED_UNITS:
+            self._receive_units(now, datagram, sender)
+        elif datagram.kind == CLOCK_STAMP:
+            self._receive_clock(now, datagram, sender)
+        elif datagram.kind == LEASE_REQUEST:
+            self._receive_request(now, datagram, sender)
+        elif datagram.kind == LEASE_REPLY:
+            self._receive_reply(now, datagram, sender)
+
+    def _is_new(self, datagram, sender, counter_index):
         """Whether the message is for this process and newer than the last from the sender's process; copies and old
         messages are ignored."""
-        if gram.about != self.born:
+        if datagram.about != self.boot_id:
             return False
         last = self.last_numbers.get(sender)
-        if last is None or last[0] != gram.born:
-            last = (gram.born, -1, -1)
-        if gram.number <= last[counter_index]:
+        if last is None or last[0] != datagram.boot_id:
+            last = (datagram.boot_id, -1, -1)
+        if datagram.number <= last[counter_index]:
             return False
-        self.last_numbers[sender] = (*last[:counter_index], gram.number, *last[counter_index + 1 :])
+        self.last_numbers[sender] = (*last[:counter_index], datagram.number, *last[counter_index + 1 :])
         return True
 
-    def _receive_units(self, now, gram, sender):
-        if gram.rows and not self._is_new(gram, sender, 1):
+    def _receive_units(self, now, datagram, sender):
+        if datagram.rows and not self._is_new(datagram, sender, 1):
             self.count["late"] += 1
         else:
-            for row in gram.rows:
+            for row in datagram.rows:
                 server = self.index.get(row.server)
                 if server is None or row.b > MAX_ROW_UNITS:
                     self.count["absurd"] += 1
                 else:
                     self._ledger(server).add(now, row.a, sender, row.b)
-        self.outbox.append((sender, CLOCK_STAMP, gram.born, gram.number, [LeaseRow(0, now, 0)]))
-
-    def _receive_clock(self, now, gram, sender):
-        if gram.about != self.born or not self.first_number < gram.number <= self.number or len(gram.rows) != 1:
+        self.outbox.append((sender, CLOCK_STAMP, datagram.boot_id, datagram.number, [LeaseRow(0, now, 0)]))
+
+    def _receive_clock(self, now, datagram, sender):
+        if (
+            datagram.about != self.boot_id
+            or not self.first_number < datagram.number <= self.number
+            or len(datagram.rows) != 1
+        ):
             return
-        link, clock_lead = self.links.get(sender, CoordinatorLink()), gram.rows[0].a - now
-        if link.born == gram.born:
+        link, clock_lead = self.links.get(sender, CoordinatorLink()), datagram.rows[0].a - now
+        if link.boot_id == datagram.boot_id:
             # Keeps the estimate from the fastest message.
             clock_lead = max(clock_lead, link.clock_lead - (now - link.updated_at) // CLOCK_DRIFT_DIVISOR)
-        self.links[sender] = link._replace(born=gram.born, clock_lead=clock_lead, updated_at=now, unanswered_since=0)
+        self.links[sender] = link._replace(
+            boot_id=datagram.boot_id, clock_lead=clock_lead, updated_at=now, unanswered_since=0
+        )
 
-    def _receive_request(self, now, gram, sender):
-        row = gram.rows[0] if len(gram.rows) == 1 else None
+    def _receive_request(self, now, datagram, sender):
+        row = datagram.rows[0] if len(datagram.rows) == 1 else None
         server = self.index.get(row.server) if row else None
         if server is None or not 0 < row.a <= MAX_LEASE_US:
             self.count["absurd"] += 1
             return
-        if not self._is_new(gram, sender, 2):
+        if not self._is_new(datagram, sender, 2):
             self.count["late"] += 1
             return
         granted = self._grant(now, server, row.a)
         self.count["served" if granted else "turned"] += 1
-        self.outbox.append((sender, LEASE_REPLY, gram.born, gram.number, [LeaseRow(row.server, int(granted), 0)]))
+        self.outbox.append(
+            (sender, LEASE_REPLY, datagram.boot_id, datagram.number, [LeaseRow(row.server, int(granted), 0)])
+        )
 
-    def _receive_reply(self, now, gram, sender):
-        request = self.pending.get(gram.number)
-        if request is None or gram.about != self.born or len(gram.rows) != 1 or sender != request.coordinator:
+    def _receive_reply(self, now, datagram, sender):
+        request = self.pending.get(datagram.number)
+        if (
+            request is None
+            or datagram.about != self.boot_id
+            or len(datagram.rows) != 1
+            or sender != request.coordinator
+        ):
             return
-        del self.pending[gram.number]
+        del self.pending[datagram.number]
         link = self.links.get(sender)
         if link is not None:
             self.links[sender] = link._replace(unanswered_since=0)
-        self._decide(request.call, request.use_by if gram.rows[0].a else 0)
+        self._decide(request.call, request.use_by if datagram.rows[0].a else 0)
 
     # ---- timers ----
 
--- a/thorndale/fleet/view.py
+++ b/thorndale/fleet/view.py
@@ -18,7 +18,7 @@
     counts: dict
 
 
-def views(lines):
+def member_views(lines):
     """{proxy: MemberView} from log lines, and the number of unreadable lines."""
     found, bad = {}, 0
     for line in lines:
@@ -66,7 +66,7 @@
     shut: list
 
 
-def holdings(lines):
+def lease_views(lines):
     """{proxy: LeaseView} from log lines. Unreadable lines are skipped; `member_views` counts them."""
     found = {}
     for line in lines:
@@ -89,7 +89,7 @@
     return isinstance(counts, dict) and all(isinstance(n, int) for n in counts.values())
 
 
-def by_server(found):
+def leases_by_server(found):
     """[(server, {proxy: leases}, [proxies that avoid it])] of servers for which there is either."""
     rows = {}
     for proxy, own in sorted(found.items()):
@@ -100,7 +100,7 @@
     return [(server, *row) for server, row in sorted(rows.items())]
 
 
-def parts(found):
+def view_groups(found):
     """Groups of proxies with the same view, largest first: ([proxies], frozenset of members they consider present)."""
     newest = max((view.second for view in found.values()), default=0)
     proxies_by_view = {}
@@ -113,7 +113,7 @@
     )
 
 
-def differences(found):
+def view_differences(found):
     """[(member, {state: [proxies]}, wall second since when a proxy sees it as not alive)] of members that some proxy
     does not consider alive."""
     states_by_member = {}
--- a/thorndale/fleet/wire.py
+++ b/thorndale/fleet/wire.py
@@ -15,7 +15,7 @@
 FAILURE_REPORTS = 7
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 MAX_UPDATES = 10  # in one datagram, which keeps it under 256 bytes
-MAX_ROWS, WORDS_MOST = 12, 10  # lease rows and failure reports in one datagram, for the same reason
+MAX_ROWS, MAX_REPORTS = 12, 10  # lease rows and failure reports in one datagram, for the same reason
 MAX_DATAGRAM_BYTES = 512  # longer datagrams are not from a proxy
 
 WireId = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
@@ -26,7 +26,7 @@
     """`member` is in `state` as of `incarnation`; `boot_id` identifies the member's process."""
 
     member: WireId
-    born: WireId
+    boot_id: WireId
     incarnation: Counter
     state: Annotated[int, msgspec.Meta(ge=0, le=3)]
 
@@ -41,7 +41,7 @@
     b: Annotated[int, msgspec.Meta(ge=0, lt=1 << 16)]
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
+class FailureReport(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
     """`reporter` lost a set-up that it sent to `server` `age_ms` ago, or got an answer to it (`answered`).
     `process_start_s`: the second at which that process of the server started, 0 for long ago."""
 
@@ -52,7 +52,7 @@
     answered: bool
 
 
-class Gram(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
+class Datagram(msgspec.Struct, array_like=True, frozen=True, gc=False, forbid_unknown_fields=True):
     """`boot_id` and `incarnation` are those of `sender`. `number` matches an ACK with its PROBE. `about` is the member
     to be probed in an INDIRECT_PROBE, the member that answered in an ACK, and the receiver's process in lease messages;
     else the sender."""
@@ -60,13 +60,13 @@
     version: Annotated[int, msgspec.Meta(ge=0, le=255)]
     kind: Annotated[int, msgspec.Meta(ge=0, le=7)]
     sender: WireId
-    born: WireId
+    boot_id: WireId
     incarnation: Counter
     number: WireId
     about: WireId
-    news: Annotated[list[MembershipUpdate], msgspec.Meta(max_length=MAX_UPDATES)] = []
+    updates: Annotated[list[MembershipUpdate], msgspec.Meta(max_length=MAX_UPDATES)] = []
     rows: Annotated[list[LeaseRow], msgspec.Meta(max_length=MAX_ROWS)] = []
-    reports: Annotated[list[Word], msgspec.Meta(max_length=WORDS_MOST)] = []
+    reports: Annotated[list[FailureReport], msgspec.Meta(max_length=MAX_REPORTS)] = []
 
 
 class WireError(Exception):
@@ -74,15 +74,15 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Gram).decode
+_decode = msgspec.msgpack.Decoder(Datagram).decode
 
 
 def member_id(name):
     return xxh32_intdigest(name.encode())
 
 
-def encode(gram):
-    return _encode(gram)
+def encode(datagram):
+    return _encode(datagram)
 
 
 def decode(data):
@@ -90,9 +90,9 @@
     if len(data) > MAX_DATAGRAM_BYTES:
         raise WireError("too long")
     try:
-        gram = _decode(data)
+        datagram = _decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise WireError(str(error)[:120]) from None
-    if gram.version != VERSION:
-        raise WireError(f"version {gram.version}")
-    return gram
+    if datagram.version != VERSION:
+        raise WireError(f"version {datagram.version}")
+    return datagram
