--- a/tests/records/disk.py
+++ b/tests/records/disk.py
@@ -1,5 +1,5 @@
-"""A folder in memory that fails as disks do: after the n-th operation, half way through a write, or by losing what
-was not synced, in any order."""
+"""An in-memory folder with the failures of a disk: at the n-th operation, in the middle of a write, or by losing
+unsynced writes in any order."""
 
 import errno
 
@@ -7,20 +7,20 @@
 
 
 class KilledError(Exception):
-    """The process ends here."""
+    """The process is killed at this operation."""
 
 
-class Held:
+class MemoryFile:
     def __init__(self):
-        self.data, self.synced, self.writes = bytearray(), b"", []  # writes since the sync: (at, bytes)
+        self.data, self.synced, self.writes = bytearray(), b"", []  # writes since the last sync: (offset, bytes)
 
 
 class Disk:
-    """`kill_at`: the operation (counted from 0) at which the process ends; `tear`: the part of a write that is done by
-    then. `faults`: {operation: errno} to be raised, half of a write done."""
+    """`kill_at`: the operation (counted from 0) at which the process is killed. `tear`: the fraction of the failing
+    write that is still done. `faults`: {operation: errno to raise}."""
 
     def __init__(self):
-        self.there, self.durable_names, self.ops, self.kill_at, self.tear, self.faults = {}, {}, 0, -1, 0.5, {}
+        self.entries, self.durable_names, self.ops, self.kill_at, self.tear, self.faults = {}, {}, 0, -1, 0.5, {}
         self.locked = False
 
     def _step(self, name="", data=b""):
@@ -33,20 +33,20 @@
             raise OSError(self.faults[n], "made to fail")
 
     def _put(self, name, data):
-        held = self.there[name]
-        held.writes.append((len(held.data), bytes(data)))
-        held.data += data
+        file = self.entries[name]
+        file.writes.append((len(file.data), bytes(data)))
+        file.data += data
 
-    # ---- what Files has ----
+    # ---- the interface of Files ----
 
     def names(self):
-        return sorted(self.there)
+        return sorted(self.entries)
 
     def read(self, name):
-        return bytes(self.there[name].data)
+        return bytes(self.entries[name].data)
 
     def size(self, name):
-        return len(self.there[name].data)
+        return len(self.entries[name].data)
 
     def lock(self, wait_s=0.0):
         if self.locked:
@@ -55,9 +55,9 @@
 
     def create(self, name, again=False):
         self._step()
-        if name in self.there and not again:
+        if name in self.entries and not again:
             raise OSError(errno.EEXIST, "exists")
-        self.there[name] = Held()
+        self.entries[name] = MemoryFile()
 
     def append(self, name, data):
         self._step(name, data)
@@ -65,55 +65,57 @@
 
     def cut(self, name, size):
         self._step()
-        held = self.there[name]
-        del held.data[size:]
-        held.synced, held.writes = bytes(held.data), []
+        file = self.entries[name]
+        del file.data[size:]
+        file.synced, file.writes = bytes(file.data), []
 
     def sync(self, name):
         self._step()
-        held = self.there[name]
-        held.synced, held.writes = bytes(held.data), []
+        file = self.entries[name]
+        file.synced, file.writes = bytes(file.data), []
 
     def sync_folder(self):
         self._step()
-        self.durable_names = dict(self.there)
+        self.durable_names = dict(self.entries)
 
     def rename(self, name, to):
         self._step()
-        self.there[to] = self.there.pop(name)
+        self.entries[to] = self.entries.pop(name)
 
     def remove(self, name):
         self._step()
-        del self.there[name]
+        del self.entries[name]
 
-    def done_with(self, name):
+    def close_file(self, name):
         pass
 
     def close(self):
         self.locked = False
 
-    # ---- ends ----
+    # ---- crashes ----
 
     def after_kill(self):
-        """The process is gone, the kernel is not: all that was written is there."""
+        """The process was killed but the kernel runs on: all writes are kept."""
         self.kill_at, self.faults, self.locked = -1, {}, False
         return self
 
-    def after_power_loss(self, chance):
-        """Of what was not synced, any writes are there and any are not; a lost one before a kept one leaves zeroes."""
+    def after_power_loss(self, random_draw):
+        """A random subset of the unsynced writes is kept; a lost write before a kept one leaves zeroes."""
         self.after_kill()
         kept = {}
-        for name, held in self.durable_names.items():
-            data = bytearray(held.synced)
-            for at, piece in held.writes:
-                if chance() < 0.5:
+        for name, file in self.durable_names.items():
+            data = bytearray(file.synced)
+            for at, piece in file.writes:
+                if random_draw() < 0.5:
                     data.extend(bytes(max(0, at + len(piece) - len(data))))
                     data[at : at + len(piece)] = piece
-            new = kept[name] = Held()
+            new = kept[name] = MemoryFile()
             new.data, new.synced = data, bytes(data)
-        for name, held in self.there.items():
-            if name not in self.durable_names and chance() < 0.3:  # the entry happened to be written
-                new = kept[name] = Held()
-                new.data = new.synced = bytearray(held.synced)
-        self.there, self.durable_names = kept, dict(kept)
+        for name, file in self.entries.items():
+            if (
+                name not in self.durable_names and random_draw() < 0.3
+            ):  # the directory entry reached the disk without a sync
+                new = kept[name] = MemoryFile()
+                new.data = new.synced = bytearray(file.synced)
+        self.entries, self.durable_names = kept, dict(kept)
         return self
--- a/tests/records/proxy.py
+++ b/tests/records/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy's records without the proxy: calls begin and end, the disk does what the test wants, time is a counter."""
+"""The records of a simulated proxy: calls begin and end, the test controls the disk, and time is a counter."""
 
 from thorndale.records import folder as fo
 from thorndale.records.journal import Journal, Limits
@@ -10,10 +10,10 @@
 
 
 class Recorder:
-    """`promised`: calls whose final answer went out."""
+    """`promised`: calls whose final answer was sent. `logged`: log entries as (level, event, fields)."""
 
-    def __init__(self, disk, boot, way="written", limits=LIMITS, wait_us=1 << 40):
-        self.disk, self.now, self.promised, self.said = disk, 10_000, [], []
+    def __init__(self, disk, boot, answer_order="written", limits=LIMITS, wait_us=1 << 40):
+        self.disk, self.now, self.promised, self.logged = disk, 10_000, [], []
         disk.lock()
         self.plan = fo.recovery(disk)
         fo.apply(disk, self.plan.steps)
@@ -30,16 +30,16 @@
         self.ops = []
         self.ledger = Ledger(
             self.journal,
-            way,
+            answer_order,
             wait_us,
             self.ops.append,
-            self.word,
-            lambda level, event, **more: self.said.append((level, event, more)),
-            self.plan.unsure,
+            self.write_resolution,
+            lambda level, event, **more: self.logged.append((level, event, more)),
+            self.plan.unconfirmed,
         )
 
-    def word(self, seq, word):
-        fo.add_word(self.disk, fo.WORDS, seq, word)
+    def write_resolution(self, seq, resolution):
+        fo.add_word(self.disk, fo.PROXY_RESOLUTIONS, seq, resolution)
 
     def record(self, call, **more):
         return Record(call, f"{call}@x", "t", came_us=self.now, anchor_us=5_000_000, call_type="timetable", **more)
@@ -49,7 +49,7 @@
         record = self.record(call, status=503, how="rejected", ended_us=self.now)
         self.ledger.refused(self.now, record, lambda _: self.promised.append(call))
 
-    def come(self, call):
+    def arrive(self, call):
         self.ledger.came(self.now, self.record(call))
 
     def begin(self, call):
@@ -64,7 +64,7 @@
         )
 
     def work(self, most=1000, only=None):
-        """Does what the disk should, to its end or this many operations."""
+        """Performs the pending disk operations, all of them or at most `most`; `only`: those of one kind."""
         for _ in range(most):
             self.now += 11
             self.ledger.flush(self.now)
@@ -76,12 +76,12 @@
                 self.now = max(self.now, at)
                 continue
             self.ops.remove(op)
-            fault = ""
+            error_text = ""
             try:
                 fo.perform(self.disk, op)
             except OSError as error:
-                fault = f"{op.what}: {error}"
-            self.ledger.done(self.now, op, fault)
+                error_text = f"{op.what}: {error}"
+            self.ledger.done(self.now, op, error_text)
 
     def close(self):
         self.journal.close()
--- a/tests/records/test_chain.py
+++ b/tests/records/test_chain.py
@@ -1,4 +1,4 @@
-"""Verification names the place: every single bit, a missing segment, a swapped pair, a copy cut in half."""
+"""Verification locates damage: any flipped bit, a missing segment, a swapped pair, a truncated copy."""
 
 import pytest
 from records.disk import Disk
@@ -26,46 +26,46 @@
 
 def test_every_flipped_bit_of_a_sealed_segment_is_found_at_its_place(disk):
     for name, bits in ((s.name_of(1), range(8)), (s.name_of(fo.numbers(disk)[-1]), (3,))):
-        held = disk.there[name].data
-        for at in range(len(held)):
+        stored = disk.entries[name].data
+        for at in range(len(stored)):
             for bit in bits:
-                held[at] ^= 1 << bit
-                found = s.parse(name, bytes(held)).findings
+                stored[at] ^= 1 << bit
+                found = s.parse(name, bytes(stored)).findings
                 assert any(x.at <= at < x.end for x in found), (name, at, bit, found)
-                held[at] ^= 1 << bit
+                stored[at] ^= 1 << bit
 
 
-def test_a_changed_byte_with_its_checksum_mended_still_shows(disk):
+def test_a_changed_byte_with_a_repaired_checksum_is_found(disk):
     name = s.name_of(2)
-    held = disk.there[name]
-    item = next(x for x in f.scan(bytes(held.data)) if isinstance(x, f.Frame) and x.kind == f.WHOLE)
+    stored = disk.entries[name]
+    item = next(x for x in f.scan(bytes(stored.data)) if isinstance(x, f.Frame) and x.kind == f.WHOLE)
     record = decode(Record, item.body)
     record.status = 499
-    held.data[item.at : item.end] = f.pack(item.kind, item.seq, encode(record))
+    stored.data[item.at : item.end] = f.pack(item.kind, item.seq, encode(record))
     found = verify(disk).findings
     assert [x.name for x in found] == [name] and "not those that were sealed" in found[0].what
 
 
 def test_a_missing_segment_and_a_swapped_pair(disk):
-    gone = disk.there.pop(s.name_of(2))
+    gone = disk.entries.pop(s.name_of(2))
     assert [str(x) for x in verify(disk).findings] == [f"{s.name_of(2)}: is missing"]
-    disk.there[s.name_of(2)] = gone
+    disk.entries[s.name_of(2)] = gone
     one, two = s.name_of(2), s.name_of(3)
-    disk.there[one], disk.there[two] = disk.there[two], disk.there[one]
+    disk.entries[one], disk.entries[two] = disk.entries[two], disk.entries[one]
     found = verify(disk).findings
     assert {x.name for x in found if "by its opening" in x.what} == {one, two}
 
 
-def test_a_segment_copied_in_half(disk):
-    held = disk.there[s.name_of(2)]
-    whole = bytes(held.data)
+def test_a_truncated_segment_is_found(disk):
+    stored = disk.entries[s.name_of(2)]
+    whole = bytes(stored.data)
     for size in (0, 10, len(whole) // 2, len(whole) - 1):
-        held.data = bytearray(whole[:size])
+        stored.data = bytearray(whole[:size])
         assert any(x.name == s.name_of(2) for x in verify(disk).findings), size
-    held.data = bytearray(whole)
+    stored.data = bytearray(whole)
 
 
-def test_erased_segments_stand_by_their_tombstones(disk):
+def test_tombstones_replace_erased_segments(disk):
     before = [line.record.call for line in all_lines(disk)]
     wall = max(line.record.wall_us(line.record.ended_us) for line in all_lines(disk))
     assert fo.erase(disk, wall, 1 << 50) == []
@@ -76,12 +76,12 @@
     assert not found.findings and found.erasures == len(written)
     after = [line.record.call for line in all_lines(disk)]
     assert after and before[-len(after) :] == after
-    disk.there.pop(fo.TOMBS)
+    disk.entries.pop(fo.TOMBSTONES)
     assert any("is missing" in x.what for x in verify(disk).findings)
 
 
-def test_a_newer_major_version_is_kept_counted_and_not_guessed_at(disk):
-    disk.there.clear()
+def test_a_newer_major_version_is_kept_and_counted_but_not_decoded(disk):
+    disk.entries.clear()
     recorder = Recorder(disk, "b1")
     recorder.refused("one")
     recorder.work()
@@ -105,7 +105,7 @@
     assert list(find(disk, "nothing")) == []
 
 
-def test_an_older_reader_skips_and_a_newer_one_fills():
+def test_an_older_reader_skips_unknown_fields_and_a_newer_one_fills_defaults():
     import msgspec
 
     row = msgspec.msgpack.decode(encode(Record("c", status=200)))
@@ -119,9 +119,9 @@
     for n in range(4):
         recorder.refused(f"c{n}")
     recorder.work()
-    held = disk.there[s.name_of(1)].data
-    item = [x for x in f.scan(bytes(held)) if isinstance(x, f.Frame) and x.kind == f.WHOLE][1]
-    held[item.at + 40] ^= 1
+    stored = disk.entries[s.name_of(1)].data
+    item = [x for x in f.scan(bytes(stored)) if isinstance(x, f.Frame) and x.kind == f.WHOLE][1]
+    stored[item.at + 40] ^= 1
     after = Recorder(disk.after_kill(), "b2")
     assert [(x.at, x.end) for x in after.plan.findings] == [(item.at, item.end)]
     assert [line.record.call for line in all_lines(disk)] == ["c0", "c2", "c3"]
@@ -130,10 +130,10 @@
     assert not again.plan.findings
 
 
-def test_a_copy_of_a_folder_is_told_from_a_call_met_by_two_proxies(disk):
+def test_a_copy_of_a_folder_is_distinguished_from_a_call_seen_by_two_proxies(disk):
     copy = Disk()
     for name in list(disk.names())[:3]:
-        copy.there[name] = disk.there[name]
+        copy.entries[name] = disk.entries[name]
     kept, copies = distinct([source("copy", copy), source("whole", disk)])
     assert [x.name for x in kept] == ["whole"] and copies == [("copy", "whole")]
 
--- a/tests/records/test_export.py
+++ b/tests/records/test_export.py
@@ -1,4 +1,4 @@
-"""Editions, exports and the commands, over folders that hold real files."""
+"""Editions, exports and the records commands on real folders."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """Forty calls of a proxy that was killed and started again."""
+    """Forty calls of a proxy that was killed and restarted."""
     path = tmp_path / "p1"
     path.mkdir()
     for boot in ("b1", "b2"):
@@ -38,7 +38,7 @@
                 if n != 7:
                     recorder.end(call)
         recorder.work()
-        recorder.disk.close()  # as a kill does
+        recorder.disk.close()  # without closing the journal, like a kill
     return str(path)
 
 
@@ -46,7 +46,7 @@
     return CliRunner().invoke(app, ["records", *map(str, args)])
 
 
-def test_the_commands_tell_what_is_there(folder, tmp_path):
+def test_the_commands_report_the_records(folder, tmp_path):
     found = run("verify", folder)
     assert found.exit_code == 0 and "sound" in found.output, found.output
     found = run("show", folder, "--json")
@@ -66,7 +66,7 @@
     assert found.exit_code == 1 and "records-0000000001.seg bytes" in found.output and "1 segments" not in found.output
 
 
-def test_editions_stand_beside_each_other_with_what_differs(folder, tmp_path):
+def test_editions_are_kept_and_their_difference_is_reported(folder, tmp_path):
     (tmp_path / "a.json5").write_text(TARIFFS % "0.10")
     (tmp_path / "b.json5").write_text(TARIFFS % "0.15")
     found = run("rate", folder, "--tariffs", tmp_path / "a.json5", "--to", tmp_path / "rated")
@@ -90,17 +90,19 @@
     lock.close()
     (two / "totals.csv").write_text("x")
     found = run("rate", folder, "--tariffs", tmp_path / "a.json5", "--to", tmp_path / "rated")
-    assert found.exit_code == 0  # against edition 3, which is whole
+    assert found.exit_code == 0  # compared with edition 3, which is intact
 
 
-def test_an_export_to_a_folder_is_the_same_again(folder, tmp_path):
+def test_a_repeated_export_gives_the_same_files(folder, tmp_path):
     for form in ("csv", "parquet"):
         to = tmp_path / form
         args = ("export", folder, "--to", to, "--until", "2000-01-01", "--format", form, "--size", 10)
         assert "39 records in 4 batches" in run(*args).output
-        kept = {name: (to / name).read_bytes() for name in os.listdir(to) if name.startswith(("batch", "manifest"))}
+        first_files = {
+            name: (to / name).read_bytes() for name in os.listdir(to) if name.startswith(("batch", "manifest"))
+        }
         assert run(*args).exit_code == 0
-        assert kept == {name: (to / name).read_bytes() for name in kept}
+        assert first_files == {name: (to / name).read_bytes() for name in first_files}
         other = run("export", folder, "--to", to, "--until", "2001-01-01", "--format", form)
         assert other.exit_code == 1 and "holds another export" in other.output
     rows = sum(pq.read_table(tmp_path / "parquet" / f"batch-00000{n}.parquet").num_rows for n in range(4))
@@ -111,12 +113,12 @@
     assert "0 records in 0 batches" in none.output
 
 
-def test_half_the_requests_failing_in_every_way(folder, tmp_path, monkeypatch):
-    monkeypatch.setattr("thorndale.records.delivery.FIRST_US", 20_000)
-    monkeypatch.setattr("thorndale.records.delivery.MOST_US", 200_000)
-    chance = random.Random(3)
+def test_half_the_requests_fail_in_every_kind_of_fault(folder, tmp_path, monkeypatch):
+    monkeypatch.setattr("thorndale.records.delivery.INITIAL_RETRY_US", 20_000)
+    monkeypatch.setattr("thorndale.records.delivery.MAX_RETRY_US", 200_000)
+    generator = random.Random(3)
     plan = [FAULTS[n // 2 % len(FAULTS)] if n % 2 else "" for n in range(4000)]
-    chance.shuffle(plan)
+    generator.shuffle(plan)
     collector = Collector(str(tmp_path / "far"), lambda n: plan[n % len(plan)], late_s=0.3, dead_s=0.1, busy_s=0)
     try:
         args = (
@@ -133,7 +135,7 @@
             "--timeout",
             "0.2",
         )
-        short = run(*args, "--limit", "0.01")  # gives up early, and goes on where it stood
+        short = run(*args, "--limit", "0.01")  # gives up early; the next run continues
         found = run(*args, "--limit", "60")
     finally:
         collector.close()
@@ -149,7 +151,7 @@
     sent = b"".join((tmp_path / "out" / b["file"]).read_bytes().split(b"\n", 1)[1] for b in manifest["batches"])
     assert sorted(stored.splitlines()) == sorted(sent.splitlines())
     before = collector.requests
-    again = run(*args)  # all is stored: nothing is sent
+    again = run(*args)  # all batches are stored: nothing is sent
     assert again.exit_code == 0 and collector.requests == before
 
 
@@ -161,43 +163,45 @@
     found = run("export", folder, "--to", tmp_path / "out", "--until", "2000-01-01")
     assert found.exit_code == 1 and "another export of this folder runs" in found.output
     state.close()
-    # Into two folders of their own, to one collector: the same keys only where it is the same export.
+    # The same export into two folders, to one collector: both have the same keys, so each batch is stored once.
     collector = Collector(str(tmp_path / "far"))
     try:
-        outs = []
+        results = []
 
-        def go(name):
-            outs.append(run("export", folder, "--to", tmp_path / name, "--until", "2000-01-01", "--url", collector.url))
+        def run_export(name):
+            results.append(
+                run("export", folder, "--to", tmp_path / name, "--until", "2000-01-01", "--url", collector.url)
+            )
 
-        threads = [threading.Thread(target=go, args=(n,)) for n in ("one", "two")]
+        threads = [threading.Thread(target=run_export, args=(n,)) for n in ("one", "two")]
         for t in threads:
             t.start()
             t.join()
     finally:
         collector.close()
-    assert [o.exit_code for o in outs] == [0, 0]
+    assert [o.exit_code for o in results] == [0, 0]
     assert len(os.listdir(tmp_path / "far")) == 2  # one batch and the manifest, once
 
 
-def test_a_batch_that_the_collector_refuses_is_stuck_and_told():
+def test_a_batch_that_the_collector_refuses_ends_the_run_as_stuck():
     delivery = Delivery(3, set(), lambda: 0.5, 10_000_000, 0)
-    assert delivery.want(0) == [0, 1, 2]
-    assert delivery.answered(1, 0, 409) == STUCK and delivery.over(1) == "stuck"
+    assert delivery.next_batches(0) == [0, 1, 2]
+    assert delivery.take_answer(1, 0, 409) == STUCK and delivery.outcome(1) == "stuck"
 
 
-def test_delivery_waits_longer_each_time_and_never_doubles_what_is_out():
+def test_delivery_backs_off_and_never_resends_a_batch_in_flight():
     delivery = Delivery(20, {0, 1}, lambda: 1.0, 10_000_000, 0)
-    assert delivery.want(0) == [2, 3, 4, 5] and len(delivery.want(0)) == 0 and WINDOW == 4
-    assert delivery.answered(0, 2, 0) == WAITING
-    assert delivery.at[2] == 200_000 and delivery.want(0) == [6]
-    delivery.answered(0, 6, 201)
-    delivery.answered(0, 3, 503, 5_000_000)
-    assert delivery.at[3] == 5_000_000
-    assert delivery.answered(0, 6, 503) == DONE
-    assert delivery.want(200_000) == [2, 7]
-    delivery.answered(200_000, 2, 0)
-    assert delivery.at[2] == 600_000
-    assert delivery.over(20_000_000) == "no progress"
+    assert delivery.next_batches(0) == [2, 3, 4, 5] and len(delivery.next_batches(0)) == 0 and WINDOW == 4
+    assert delivery.take_answer(0, 2, 0) == WAITING
+    assert delivery.send_at_us[2] == 200_000 and delivery.next_batches(0) == [6]
+    delivery.take_answer(0, 6, 201)
+    delivery.take_answer(0, 3, 503, 5_000_000)
+    assert delivery.send_at_us[3] == 5_000_000
+    assert delivery.take_answer(0, 6, 503) == DONE
+    assert delivery.next_batches(200_000) == [2, 7]
+    delivery.take_answer(200_000, 2, 0)
+    assert delivery.send_at_us[2] == 600_000
+    assert delivery.outcome(20_000_000) == "no progress"
 
 
 def test_numbers_kept_hashed():
--- a/tests/records/test_hand.py
+++ b/tests/records/test_io_worker.py
@@ -1,4 +1,5 @@
-"""The real thing: a store on a real folder, its hand killed, its folder locked, full or another's; exports killed."""
+"""A Store on a real folder: its I/O worker is killed or stopped, its folder locked or another proxy's; also exports
+that are killed."""
 
 import asyncio
 import json
@@ -21,8 +22,8 @@
 
 
 def with_store(folder, act, **more):
-    """Runs `act(store, said)` on a loop; gives what was said."""
-    said = []
+    """Runs `act(store)` on an event loop; returns the logged events."""
+    logged = []
 
     async def main():
         loop = asyncio.get_running_loop()
@@ -30,13 +31,13 @@
             Records(folder=str(folder), **more),
             "p1",
             loop,
-            lambda level, event, **f: said.append(event),
+            lambda level, event, **f: logged.append(event),
             now_us(),
             1_790_000_000_000_000,
         )
         store.attach(now_us, lambda: store.ledger.flush(now_us()))
 
-        async def tick():  # the border's timer
+        async def tick():  # stands in for the border's timer
             while True:
                 store.ledger.flush(now_us())
                 await asyncio.sleep(0.003)
@@ -49,7 +50,7 @@
             await store.close()
 
     asyncio.run(main())
-    return said
+    return logged
 
 
 def refuse(store, call, promised):
@@ -71,15 +72,15 @@
     return [line.record.call for line in lines(Files(str(folder)))]
 
 
-def test_a_hand_that_is_killed_is_replaced_and_nothing_is_lost(tmp_path):
+def test_a_killed_io_worker_is_replaced_and_nothing_is_lost(tmp_path):
     promised = []
 
     async def act(store):
         for n in range(60):
             refuse(store, f"c{n}", promised)
             if n % 20 == 10:
-                await until(lambda: store.hand is not None)
-                os.kill(store.hand.process.pid, signal.SIGKILL)
+                await until(lambda: store.worker is not None)
+                os.kill(store.worker.process.pid, signal.SIGKILL)
             await asyncio.sleep(0.003)
         for _ in range(3000):
             store.ledger.flush(now_us())
@@ -87,21 +88,21 @@
             if len(promised) == 60:
                 break
 
-    said = with_store(tmp_path, act)
-    assert said.count("the process that writes records ended, another is begun") == 3
+    logged = with_store(tmp_path, act)
+    assert logged.count("the process that writes records ended, another is begun") == 3
     assert sorted(promised) == sorted(names(tmp_path)) and len(promised) == 60
 
 
-def test_a_hand_that_stands_still_holds_no_answer_and_no_loop_up(tmp_path):
+def test_a_stopped_io_worker_delays_neither_answers_nor_the_event_loop(tmp_path):
     promised, lags = [], []
 
     async def act(store):
         store.ledger.flush(now_us())
-        await until(lambda: store.journal.body is not None)  # the hand has started
+        await until(lambda: store.journal.segment is not None)  # the worker has started
         refuse(store, "first", promised)
         await until(lambda: promised)
         before = store.ledger.count["answered ahead"]
-        os.kill(store.hand.process.pid, signal.SIGSTOP)
+        os.kill(store.worker.process.pid, signal.SIGSTOP)
         refuse(store, "second", promised)
         at, was = time.monotonic(), time.monotonic()
         while time.monotonic() < at + 3:
@@ -113,11 +114,11 @@
                 lags.append("waited")
                 assert 0.09 < time.monotonic() - at < 2.5
         assert store.ledger.refusing(now_us()) and store.ledger.count["answered ahead"] == before + 1
-        os.kill(store.hand.process.pid, signal.SIGCONT)
+        os.kill(store.worker.process.pid, signal.SIGCONT)
         await until(lambda: not store.ledger.refusing(now_us()))
 
     with_store(tmp_path, act, wait_ms=100, slow_ms=300)
-    assert "waited" in lags and max(x for x in lags if x != "waited") < 2  # the hand stood still for 3 s
+    assert "waited" in lags and max(x for x in lags if x != "waited") < 2  # the worker was stopped for 3 s
     assert names(tmp_path) == ["first", "second"]
 
 
@@ -135,17 +136,17 @@
     assert len(names(tmp_path)) == 3000
 
 
-def test_a_folder_that_is_in_use_or_anothers_is_refused(tmp_path, monkeypatch):
-    monkeypatch.setattr("thorndale.records.store.LOCK_S", 0.05)
-    held = Files(str(tmp_path))
-    held.lock()
+def test_a_folder_in_use_or_of_another_proxy_is_refused(tmp_path, monkeypatch):
+    monkeypatch.setattr("thorndale.records.store.LOCK_WAIT_S", 0.05)
+    folder_files = Files(str(tmp_path))
+    folder_files.lock()
 
     async def nothing(store):
         pass
 
     with pytest.raises(StoreError, match="in use by process"):
         with_store(tmp_path, nothing)
-    held.close()
+    folder_files.close()
     with_store(tmp_path, nothing)
     other = tmp_path / "other"
     other.mkdir()
@@ -163,7 +164,7 @@
 
 
 def test_a_clock_that_steps_back_an_hour_between_two_boots(tmp_path):
-    """Durations come from the proxy's own clock, the order from sequence numbers, rating from what came later."""
+    """Durations use the monotonic clock, the order uses sequence numbers, so a wall clock that steps back is harmless."""
     from thorndale.records.rate import ordered
 
     for boot, anchor in (("b1", 7_200_000_000), ("b2", 3_600_000_000)):
@@ -182,7 +183,7 @@
     assert all(r.record.stood_for() >= 0 for r in rows)
 
 
-def test_an_export_killed_at_any_moment_goes_on_where_it_stood(tmp_path):
+def test_an_export_killed_at_any_moment_continues_where_it_stopped(tmp_path):
     folder = tmp_path / "p1"
     folder.mkdir()
     recorder = Recorder(Files(str(folder)), "b1")
--- a/tests/records/test_model.py
+++ b/tests/records/test_model.py
@@ -1,4 +1,7 @@
-"""The store against a plain list, by hypothesis: calls, faults, kills, power losses and restarts in any order."""
+"""Compares the store with a plain list by hypothesis: calls, disk errors, kills, power losses and restarts in any order.
+
+The names of rules and their arguments decide which sequences hypothesis tries; a renamed rule tries others.
+"""
 
 import errno
 import os
@@ -10,37 +13,42 @@
 from records.proxy import LIMITS, Recorder, all_lines
 
 from thorndale.records import folder as fo
-from thorndale.records.chain import Check, links
+from thorndale.records.chain import ChainCheck, links
 from thorndale.standins.day import draw
 
 STEPS = {"all": 0}
 
 
 class Store(RuleBasedStateMachine):
-    """The plain list: `promised` calls in the order in which their answers went out, `begun` all that ever was."""
+    """The model: `promised`, calls whose final answer was sent; `begun`, all calls that ever began."""
 
     @initialize(way=st.sampled_from(["written", "synced"]), size=st.integers(300, 3000), seed=st.integers(0, 1 << 30))
     def start(self, way, size, seed):
-        self.disk, self.way, self.limits, self.chance = Disk(), way, LIMITS._replace(segment_bytes=size), draw(seed)
-        self.boot, self.serial, self.promised, self.begun, self.standing, self.kills = 0, 0, set(), set(), [], 0
+        self.disk, self.answer_order, self.limits, self.random_draw = (
+            Disk(),
+            way,
+            LIMITS._replace(segment_bytes=size),
+            draw(seed),
+        )
+        self.boot, self.serial, self.promised, self.begun, self.established, self.kills = 0, 0, set(), set(), [], 0
         self.recorder = None
         self.boot_up()
 
     def boot_up(self):
-        """Starts, and again after each kill in the middle of it."""
+        """Starts a proxy, again after each kill during the start."""
         while self.recorder is None:
             self.boot += 1
             try:
-                self.recorder = Recorder(self.disk, f"boot{self.boot}", self.way, self.limits)
+                self.recorder = Recorder(self.disk, f"boot{self.boot}", self.answer_order, self.limits)
             except (KilledError, OSError):
                 self.disk.after_kill()
-        self.standing = []
+        self.established = []
 
-    def fall(self, power):
+    def _crash(self, power):
         self.promised |= set(self.recorder.promised)
         self.recorder, self.kills = None, self.kills + 1
-        if power and self.way == "synced":
-            self.disk.after_power_loss(self.chance)
+        if power and self.answer_order == "synced":
+            self.disk.after_power_loss(self.random_draw)
         else:
             self.disk.after_kill()
 
@@ -49,10 +57,10 @@
         try:
             act()
         except KilledError:
-            self.fall(False)
+            self._crash(False)
             self.boot_up()
 
-    def fresh(self):
+    def _new_call(self):
         self.serial += 1
         call = f"c{self.serial}"
         self.begun.add(call)
@@ -60,18 +68,18 @@
 
     @rule()
     def refuse(self):
-        self.attempt(lambda: self.recorder.refused(self.fresh()))
+        self.attempt(lambda: self.recorder.refused(self._new_call()))
 
     @rule()
     def begin(self):
-        call = self.fresh()
-        self.standing.append(call)
+        call = self._new_call()
+        self.established.append(call)
         self.attempt(lambda: self.recorder.begin(call))
 
     @rule(pick=st.integers(0, 1 << 30))
     def end(self, pick):
-        if self.standing:
-            call = self.standing.pop(pick % len(self.standing))
+        if self.established:
+            call = self.established.pop(pick % len(self.established))
             self.attempt(lambda: self.recorder.end(call))
 
     @rule(most=st.integers(1, 12))
@@ -88,9 +96,9 @@
 
     @rule(power=st.booleans(), again=st.integers(0, 9))
     def kill(self, power, again):
-        """`again`: the operation of the recovery at which it is killed once more."""
+        """`again`: the operation of the recovery at which the process is killed again."""
         STEPS["all"] += 1
-        self.fall(power)
+        self._crash(power)
         if again < 8:
             self.disk.kill_at, self.disk.tear = self.disk.ops + again, again / 8
         self.boot_up()
@@ -107,7 +115,7 @@
 
     @rule()
     def look(self):
-        """Everything is written and read: promised calls once, in order, none that never was, nothing to be found."""
+        """Writes all, then reads: each promised call once and in order, no call that never began, no findings."""
 
         def act():
             self.recorder.work()
@@ -115,11 +123,11 @@
             found = [line.record.call for line in all_lines(self.disk)]
             assert len(found) == len(set(found)), "a call twice"
             assert set(found) <= self.begun, "a call that never was"
-            missing = self.promised - set(found) - set(self.standing) - set(self.recorder.journal.open_calls)
+            missing = self.promised - set(found) - set(self.established) - set(self.recorder.journal.open_calls)
             assert not missing, f"lost: {sorted(missing)}"
             seqs = [line.seq for line in all_lines(self.disk)]
             assert seqs == sorted(seqs), "out of order"
-            check = Check()
+            check = ChainCheck()
             for link in links(fo.segments(self.disk)):
                 check.link(link)
             assert not check.findings, check.findings
@@ -128,21 +136,21 @@
 
     @rule(where=st.integers(0, 1 << 30))
     def flip(self, where):
-        """One bit of a sealed segment that another follows, put back afterwards: verification names its place."""
+        """Flips one bit of a sealed segment, verifies that its place is found, and restores it."""
         STEPS["all"] += 1
-        there = fo.numbers(self.disk)
+        segment_numbers = fo.numbers(self.disk)
         data = {name: d for name, d in fo.segments(self.disk)}
-        if len(there) < 2 or any(link.read.findings for link in links(data.items())):
+        if len(segment_numbers) < 2 or any(link.read.findings for link in links(data.items())):
             return
         sealed = [link.name for link in links(data.items()) if link.read.seal is not None]
         if not sealed:
             return
         name = sealed[where % len(sealed)]
-        held = self.disk.there[name].data
-        at = (where // 7) % len(held)
-        held[at] ^= 1 << where % 8
+        entry_data = self.disk.entries[name].data
+        at = (where // 7) % len(entry_data)
+        entry_data[at] ^= 1 << where % 8
         try:
-            check = Check()
+            check = ChainCheck()
             for link in links(fo.segments(self.disk)):
                 check.link(link)
             assert any(x.name == name and (x.at < 0 or x.at <= at < x.end) for x in check.findings), (
@@ -150,7 +158,7 @@
                 check.findings,
             )
         finally:
-            held[at] ^= 1 << where % 8
+            entry_data[at] ^= 1 << where % 8
 
     @invariant()
     def nothing_promised_is_forgotten(self):
--- a/tests/records/test_rating.py
+++ b/tests/records/test_rating.py
@@ -1,4 +1,4 @@
-"""Tariffs and rating: worked examples, bad tariffs, and a plain model beside the rater."""
+"""Tariffs and rating: worked examples, invalid tariffs, and a comparison with a simple model."""
 
 import datetime
 from decimal import Decimal
@@ -79,7 +79,7 @@
     # 23:58:30 to 00:01:30: old intervals begin at 23:58:30 and 23:59:30, new ones at 00:00:30 and 00:01:00.
     found = charges(tariffs, call("2026-06-01T23:58:30", 180))[0]
     assert (str(found.amount), found.intervals, found.tariffs) == ("0.24", 4, ("old", "new"))
-    # Until the very midnight: nothing of the new one.
+    # A call that ends exactly at midnight uses the old tariff only.
     assert charges(tariffs, call("2026-06-01T23:58:00", 120))[0].tariffs == ("old",)
 
 
@@ -87,14 +87,14 @@
     day = {**PLAIN, "name": "day", "hours": "08:00-20:00", "per_interval": "0.10"}
     night = {**PLAIN, "name": "night", "hours": "20:00-08:00", "per_interval": "0.01"}
     tariffs = sheet(day, night, zone="Europe/Paris")
-    # 05:59:30 UTC is 07:59:30 in Paris in June: the first interval is the night's.
+    # 05:59:30 UTC is 07:59:30 in Paris in June: the first interval has the night price.
     assert charges(tariffs, call("2026-06-01T05:59:30", 61))[0].tariffs == ("night", "day")
     assert amounts(tariffs, call("2026-06-01T05:59:30", 61), call("2026-12-01T06:59:30", 61)) == ["0.21", "0.21"]
-    # The night on which clocks go back has an hour twice; both are the night's.
+    # When clocks go back, an hour occurs twice; both have the night price.
     assert charges(tariffs, call("2026-10-25T00:30:00", 7200))[0].tariffs == ("night",)
 
 
-def test_the_most_special_entry_counts():
+def test_the_most_specific_entry_applies():
     tariffs = sheet(
         PLAIN,
         {**PLAIN, "name": "ls", "call_type": "leaving-soon", "per_call": "5"},
@@ -114,7 +114,7 @@
     ] == ["all", "ls", "client", "client", "prefix"]
 
 
-def test_minimum_free_shares_and_quota():
+def test_minimum_free_allowances_and_quota():
     tariffs = sheet({**PLAIN, "minimum": "0.50"})
     assert amounts(tariffs, call(seconds=10)) == ["0.50"]
     tariffs = sheet({**PLAIN, "free": {"per": "day", "intervals": 3}})
@@ -131,7 +131,7 @@
     assert amounts(tariffs, call(client="sncd"), call(), call()) == ["0.00", "0.00", "0.12"]
 
 
-def test_rounding_is_as_stated():
+def test_rounding_follows_the_tariff_file():
     third = {**PLAIN, "per_call": "0.005", "per_interval": "0"}
     for mode, wanted in (("half even", "0.00"), ("half up", "0.01"), ("up", "0.01"), ("down", "0.00")):
         assert amounts(sheet(third, rounding={"mode": mode}), call()) == [wanted]
@@ -141,7 +141,7 @@
     assert str(rater.summed()[0][4]) == "0.02"
 
 
-def test_calls_that_no_tariff_covers_are_told_not_guessed():
+def test_calls_without_a_tariff_are_reported_as_unrated():
     tariffs = sheet(PLAIN)
     found = charges(tariffs, call("2027-03-01T00:00:00"), call(kind="odd"), call("2026-12-31T23:59:00", 300))
     assert [c.amount for c in found] == [None] * 3
@@ -152,8 +152,8 @@
     ]
 
 
-def test_every_fault_of_a_tariff_is_told_at_once():
-    with pytest.raises(ConfigError) as told:
+def test_all_errors_of_a_tariff_file_are_reported_together():
+    with pytest.raises(ConfigError) as raised:
         sheet(
             {**PLAIN, "name": "a", "until_date": "2026-05-01", "per_call": "-1"},
             {**PLAIN, "name": "b", "from_date": "2026-06-01", "call_type": "*", "per_interval": "x"},
@@ -164,7 +164,7 @@
             {**PLAIN, "name": "a", "prefix": "+1", "days": ["mon", "tyu"]},
             {**PLAIN, "name": "g", "prefix": "+2", "quota": {"per": "day", "calls": 1, "intervals": 2}},
         )
-    text = str(told.value)
+    text = str(raised.value)
     for part in (
         "per_call: -1 is negative",
         "'x' is no amount",
@@ -172,7 +172,7 @@
         "'nobody' is unknown",
         "'e' and 'f' overlap on 2026-01-01 at mon 19:00",
         "a gap on 2026-05-01 from mon 00:00",
-        "the name stands at tariffs[0] already",
+        "the name is already used at tariffs[0]",
         "'tyu' is none of",
         "needs either calls or intervals",
         "quota.beyond: is missing",
@@ -184,7 +184,7 @@
         sheet({**PLAIN, "call_type": "timetable"})
 
 
-def test_from_a_file_with_csv_beside(tmp_path):
+def test_a_file_that_names_a_csv_file(tmp_path):
     (tmp_path / "t.json5").write_text(str({**BASE, "file": "t.csv"}).replace("'", '"'))
     (tmp_path / "t.csv").write_text(
         "\ufeffname;per_call;interval_s;per_interval;days;hours;quota.per;quota.calls;"
@@ -203,7 +203,7 @@
         load(str(tmp_path / "t.json5"))
 
 
-def test_the_example_is_sound():
+def test_the_example_file_is_valid():
     tariffs = load("examples/tariffs.json5", ["timetable", "leaving-soon"])
     assert amounts(
         tariffs, call("2026-12-01T12:00:00", 61), call("2026-12-01T23:00:00", 61), call(kind="leaving-soon", seconds=10)
@@ -211,8 +211,8 @@
     assert charges(tariffs, call("2026-12-05T12:00:00"))[0].tariffs == ("week's end",)
 
 
-def test_against_a_plain_model():
-    """Second by second: an interval begins whenever the one before has run out, and costs what then counts."""
+def test_rating_agrees_with_a_simple_model():
+    """The model: an interval begins when the previous one ends, at the price in force at that moment."""
     day = {**PLAIN, "name": "day", "hours": "06:00-22:00", "per_interval": "0.07", "interval_s": 90}
     night = {
         **PLAIN,
--- a/tests/records/test_store.py
+++ b/tests/records/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a disk that fails at every operation, tears writes and forgets what was not synced."""
+"""The store on a disk that fails at every operation, tears writes and loses unsynced data."""
 
 import contextlib
 import errno
@@ -8,23 +8,23 @@
 from records.proxy import LIMITS, Recorder, all_lines, calls
 
 from thorndale.records import folder as fo
-from thorndale.records.chain import verify as look
-from thorndale.records.fold import STOPPED
+from thorndale.records.chain import verify as verify_chain
+from thorndale.records.frame_replay import STOPPED
 from thorndale.standins.day import draw
 
 
 def verify(disk):
-    return look(fo.segments(disk), fo.tombs(disk))
+    return verify_chain(fo.segments(disk), fo.tombs(disk))
 
 
-def small_run(disk, boot="b1", way="written", say=None):
-    """Some thirty calls over several segments. Gives the Recorder even when killed, through `say`."""
-    recorder = Recorder(disk, boot, way)
-    if say is not None:
-        say.append(recorder)
+def small_run(disk, boot="b1", answer_order="written", created=None):
+    """Thirty calls over several segments. Returns the Recorder; appends it to `created` too, for runs that are killed."""
+    recorder = Recorder(disk, boot, answer_order)
+    if created is not None:
+        created.append(recorder)
     for n in range(30):
         call = f"{boot}-{n:02d}"
-        recorder.come(call)
+        recorder.arrive(call)
         if n % 3 == 0:
             recorder.refused(call)
         else:
@@ -36,7 +36,7 @@
     return recorder
 
 
-def test_calls_come_back_once_and_in_order():
+def test_calls_are_read_back_once_and_in_order():
     disk = Disk()
     recorder = small_run(disk)
     recorder.work()
@@ -52,21 +52,21 @@
     assert not verify(disk).findings
 
 
-@pytest.mark.parametrize("way", ["written", "synced", "intent", "after"])
-def test_killed_at_every_operation(way):
-    """For every n of a small run: killed there, recovered, all that was promised has one record, none twice."""
+@pytest.mark.parametrize("answer_order", ["written", "synced", "intent", "after"])
+def test_killed_at_every_operation(answer_order):
+    """A small run is killed at its n-th operation and recovered: every answered call has exactly one record."""
     total = Disk()
-    small_run(total, way=way).work()
+    small_run(total, answer_order=answer_order).work()
     for n in range(total.ops + 1):
-        disk, made = Disk(), []
+        disk, created_recorders = Disk(), []
         disk.kill_at, disk.tear = n, (0.0, 0.5, 1.0)[n % 3]
         with contextlib.suppress(KilledError):
-            small_run(disk, say=made, way=way).work()
-        promised = made[0].promised if made else []
-        after = Recorder(disk.after_kill(), "b2", way)
+            small_run(disk, created=created_recorders, answer_order=answer_order).work()
+        promised = created_recorders[0].promised if created_recorders else []
+        after = Recorder(disk.after_kill(), "b2", answer_order)
         found = calls(disk)
         assert len(found) == len(set(found)), n
-        if way != "after":
+        if answer_order != "after":
             assert set(promised) <= set(found), (n, set(promised) - set(found))
         assert not [x for x in verify(disk).findings], (n, verify(disk).findings)
         after.close()
@@ -74,27 +74,27 @@
             assert line.record.ended_us >= line.record.came_us
 
 
-@pytest.mark.parametrize("way", ["synced", "intent"])
-def test_power_lost_at_every_operation_loses_nothing_synced(way):
+@pytest.mark.parametrize("answer_order", ["synced", "intent"])
+def test_power_lost_at_every_operation_loses_nothing_synced(answer_order):
     total = Disk()
-    small_run(total, way=way).work()
-    chance = draw(7)
+    small_run(total, answer_order=answer_order).work()
+    random_draw = draw(7)
     for n in range(total.ops + 1):
-        disk, made = Disk(), []
+        disk, created_recorders = Disk(), []
         disk.kill_at = n
         with contextlib.suppress(KilledError):
-            small_run(disk, say=made, way=way).work()
-        promised = made[0].promised if made else []
-        Recorder(disk.after_power_loss(chance), "b2", way)
+            small_run(disk, created=created_recorders, answer_order=answer_order).work()
+        promised = created_recorders[0].promised if created_recorders else []
+        Recorder(disk.after_power_loss(random_draw), "b2", answer_order)
         found = calls(disk)
         assert len(found) == len(set(found)), n
         assert set(promised) <= set(found), (n, set(promised) - set(found))
 
 
-@pytest.mark.parametrize("stopped", range(11, 110, 9))
-def test_killed_at_every_operation_of_recovery_leads_to_the_same_bytes(stopped):
+@pytest.mark.parametrize("kill_at_operation", range(11, 110, 9))
+def test_killed_at_every_operation_of_recovery_leads_to_the_same_bytes(kill_at_operation):
     first = Disk()
-    first.kill_at, first.tear = stopped, 0.7
+    first.kill_at, first.tear = kill_at_operation, 0.7
     with pytest.raises(KilledError):
         small_run(first)
     first.after_kill()
@@ -115,20 +115,20 @@
     assert plan.steps
     fo.apply(whole, plan.steps)
     for n in range(whole.ops):
-        for part in range(3):
+        for tear_step in range(3):
             disk = copy()
-            disk.kill_at, disk.tear = n, part / 2
+            disk.kill_at, disk.tear = n, tear_step / 2
             with pytest.raises(KilledError):
                 fo.apply(disk, fo.recovery(disk).steps)
             disk.after_kill()
             fo.apply(disk, fo.recovery(disk).steps)
-            assert of(disk) == of(whole), (n, part)
+            assert of(disk) == of(whole), (n, tear_step)
     assert not verify(whole).findings
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
 def test_every_single_fault_of_the_disk_loses_nothing(code):
-    """Each operation in turn fails once, half done: the run goes on and every call has its record."""
+    """Each operation in turn fails once, half done: the run continues and every call has its record."""
     total = Disk()
     small_run(total).work()
     for n in range(total.ops):
@@ -137,10 +137,10 @@
         try:
             recorder = small_run(disk)
         except OSError:
-            continue  # at the very start: refused to start, nothing was promised
+            continue  # the start itself failed: no call was answered
         recorder.work()
         assert len(recorder.promised) == 30, n
-        assert recorder.journal.troubles <= 1
+        assert recorder.journal.disk_errors <= 1
         recorder.close()
         Recorder(disk, "b2").close()
         found = calls(disk)
@@ -159,29 +159,29 @@
     assert recorder.ledger.refusing(recorder.now)
     assert any(
         e == "records cannot be written" and "ENOSPC" in m["reason"] or "made to fail" in m.get("reason", "")
-        for _, e, m in recorder.said
+        for _, e, m in recorder.logged
     )
     assert "two" not in recorder.promised
     recorder.work()
     assert "two" in recorder.promised and not recorder.ledger.refusing(recorder.now)
-    assert recorder.said[-1][1] == "records are written again"
+    assert recorder.logged[-1][1] == "records are written again"
 
 
-def test_a_disk_that_stands_still_is_told_within_its_bound_and_refuses():
+def test_a_disk_that_does_not_respond_is_reported_in_time_and_new_calls_are_refused():
     recorder = Recorder(Disk(), "b1")
     recorder.work()
     recorder.refused("one")
-    recorder.ledger.flush(recorder.now)  # its write is out, and nothing comes back
+    recorder.ledger.flush(recorder.now)  # its write is in flight, and no result returns
     assert not recorder.ledger.refusing(recorder.now + LIMITS.slow_us)
     recorder.now += LIMITS.slow_us + 1
     recorder.ledger.mark(recorder.now, 0)
-    assert recorder.ledger.refusing(recorder.now) and recorder.said[-1][2]["reason"] == "the disk is slow"
+    assert recorder.ledger.refusing(recorder.now) and recorder.logged[-1][2]["reason"] == "the disk is slow"
     recorder.work()
     assert recorder.promised == ["one"] and not recorder.ledger.refusing(recorder.now)
-    assert recorder.said[-1][1] == "records are written again"
+    assert recorder.logged[-1][1] == "records are written again"
 
 
-def test_lose_counts_each_record_that_finds_no_room_and_keeps_the_ends_of_calls():
+def test_policy_lose_counts_dropped_records_and_keeps_the_ends_of_calls():
     disk = Disk()
     recorder = Recorder(disk, "b1", limits=LIMITS._replace(queue=4, policy="lose"))
     recorder.work()
@@ -198,7 +198,7 @@
     assert calls(disk) == ["r0", "r1", "r2", "r3", "late"]
 
 
-def test_an_answer_that_waits_too_long_goes_ahead_and_is_counted():
+def test_an_answer_that_waits_too_long_is_sent_before_its_record_and_counted():
     disk = Disk()
     recorder = Recorder(disk, "b1", wait_us=500)
     recorder.refused("one")
@@ -211,7 +211,7 @@
     assert recorder.promised == ["one"]
 
 
-def test_a_call_killed_while_standing_is_closed_at_the_last_time_known():
+def test_an_established_call_is_closed_at_the_last_known_time_after_a_kill():
     disk = Disk()
     recorder = Recorder(disk, "b1")
     recorder.begin("one")
@@ -223,7 +223,7 @@
     assert (record.how, record.by, record.ended_us, record.answered) == (STOPPED, "proxy", 90_000, "yes")
 
 
-def test_a_caller_that_begins_anew_withdraws_the_record_it_saw_nothing_of():
+def test_a_repeated_invite_withdraws_the_record_of_an_unanswered_call():
     disk = Disk()
     recorder = Recorder(disk, "b1")
     recorder.begin("one")
@@ -233,8 +233,8 @@
     recorder.promised.clear()
     again = Recorder(disk.after_kill(), "b2")
     assert [line.record.answered for line in all_lines(disk)] == ["no", "doubt"]
-    again.ledger.repeated(again.now, "two@x", "t", 2, 1)  # a new try of a caller that had its answer
-    assert not again.ledger.words
+    again.ledger.repeated(again.now, "two@x", "t", 2, 1)  # a new attempt of a caller that received its answer
+    assert not again.ledger.resolutions
     again.ledger.repeated(again.now, "two@x", "t", 0, 1)
     again.ledger.spoke(again.now, "one", 1)
     assert [(line.record.call, line.record.answered) for line in all_lines(disk)] == [("one", "yes")]
--- a/thorndale/records/__init__.py
+++ b/thorndale/records/__init__.py
@@ -1,5 +1,6 @@
-"""Call records: one for each call that got a final answer, written once, rated, exported.
+"""Call records: one per call that received a final answer, written once, then rated and exported.
 
-frame (bytes of one entry) < record (what is in it) < segment (bytes of a file) < journal (what to write when) are
-pure, and so are fold, recover, tariff, rate, retain and delivery. files and store are the thin shell around them.
+frame (bytes of one entry) < record (its content) < segment (bytes of a file) < journal (what to write and when) are
+pure, as are frame_replay, recover, tariff, rate, settle and delivery. files, io_worker and store do the input and
+output.
 """
--- a/thorndale/records/chain.py
+++ b/thorndale/records/chain.py
@@ -1,6 +1,6 @@
-"""Segments in their order: the walk along them that every reader takes, and whether the chain holds.
+"""Iteration over a folder's segments in order, and verification of the chain of digests.
 
-Memory is bounded by a few segments, however many there are.
+At most a few segments are in memory at once, however many there are.
 """
 
 from typing import NamedTuple
@@ -11,33 +11,33 @@
 
 class Link(NamedTuple):
     name: str
-    read: s.Read
+    read: s.ParsedSegment
 
 
 def links(segments):
-    """A Link for each (name, bytes)."""
+    """Yields a Link for each (name, bytes) pair."""
     for name, data in segments:
         yield Link(name, s.parse(name, data))
 
 
 def groups(found):
-    """Lists of Links that are to be read as one: a segment with those before it that it names as abandoned."""
-    held = []
+    """Yields lists of Links to be read as one: a segment with the preceding ones that it lists as abandoned."""
+    group = []
     for link in found:
-        if held:
+        if group:
             opening = link.read.opening
             names = opening.abandoned if opening is not None else ()
-            if not all(s.number_of(h.name) in names for h in held):
-                yield held
-                held = []
-        held.append(link)
-    if held:
-        yield held
+            if not all(s.number_of(earlier.name) in names for earlier in group):
+                yield group
+                group = []
+        group.append(link)
+    if group:
+        yield group
 
 
 def frames(group):
-    """(opening, frame) of a group in the order of their sequence numbers. Of a frame that stands in two, written
-    again after a failed sync, the later copy is taken; one that was never written again counts as it stands."""
+    """Yields (opening, frame) of a group by sequence number. If a frame was rewritten into a later segment after a
+    failed sync, the later copy is used; a frame that was not rewritten is used as it is."""
     if len(group) == 1:
         read = group[0].read
         if read.opening is not None:
@@ -59,8 +59,8 @@
         yield numbered[seq]
 
 
-class Check:
-    """Looks along the chain, Link after Link, for what does not fit; `findings` tells where and what."""
+class ChainCheck:
+    """Checks the chain Link by Link and collects each defect with its place in `findings`."""
 
     def __init__(self):
         self.findings, self.records, self.frames, self.segments, self.bytes, self.newer = [], 0, 0, 0, 0, 0
@@ -68,13 +68,13 @@
         self.erasures, self.tail_size = 0, 0
         self.open_tail = ""  # the last segment, if it has no seal yet
 
-    def erased(self, tomb):
-        """A segment that was erased properly stands in the chain by its tombstone."""
-        self._number(s.name_of(tomb.number), tomb.number)
+    def erased(self, tombstone):
+        """Takes the tombstone's digest and sequence number in place of the erased segment."""
+        self._number(s.name_of(tombstone.number), tombstone.number)
         self.erasures += 1
-        self.chain = self.chain or tomb.chain
-        if tomb.digest:
-            self.digest, self.last_seq = tomb.digest, tomb.last_seq
+        self.chain = self.chain or tombstone.chain
+        if tombstone.digest:
+            self.digest, self.last_seq = tombstone.digest, tombstone.last_seq
 
     def _number(self, name, number):
         if self.last_number is not None:
@@ -92,39 +92,47 @@
         self.bytes += read.size
         self.frames += len(read.frames)
         self.newer += len(read.newer)
-        was = self.last_number
+        previous_number = self.last_number
         self._number(name, number)
-        adjacent = was is None or was + 1 == number
+        adjacent = previous_number is None or previous_number + 1 == number
         self.findings.extend(read.findings)
         if opening is not None:
             if self.open_tail and s.number_of(self.open_tail) in opening.abandoned:
-                # Given up after a failed sync: a write that was under way then may have torn its end, and what stood
-                # there stands again in this one.
+                # The previous segment was abandoned after a failed sync: a write in progress may have torn its end, and
+                # this segment repeats the frames written there.
                 self.findings = [x for x in self.findings if x.name != self.open_tail or x.end != self.tail_size]
             if self.open_tail and s.number_of(self.open_tail) not in opening.abandoned:
-                self.findings.append(Finding(self.open_tail, -1, -1, "has no seal, though another follows it"))
+                self.findings.append(
+                    Finding(self.open_tail, -1, -1, "has no seal, although another segment follows it")
+                )
                 adjacent = False
             if self.chain is not None and opening.chain != self.chain:
                 self.findings.append(Finding(name, 0, 0, f"belongs to chain {opening.chain}, not to {self.chain}"))
             if adjacent and self.digest is not None and opening.before != self.digest:
-                self.findings.append(Finding(name, 0, 0, "the segment before it is not the one that it was chained to"))
+                self.findings.append(
+                    Finding(name, 0, 0, "its opening holds another digest than that of the segment before it")
+                )
             self.chain = self.chain or opening.chain
         else:
             adjacent = False
-        seqs = [item.seq for item in (*read.frames, *read.newer) if item.kind not in s.UNNUMBERED]
-        if seqs and not read.damages:
+        sequence_numbers = [item.seq for item in (*read.frames, *read.newer) if item.kind not in s.UNNUMBERED]
+        if sequence_numbers and not read.damages:
             if (
                 self.last_seq is not None
                 and adjacent
                 and not (opening and opening.abandoned)
-                and min(seqs) != self.last_seq + 1
+                and min(sequence_numbers) != self.last_seq + 1
+            ):
+                self.findings.append(
+                    Finding(name, 0, 0, f"begins with frame {min(sequence_numbers)} after {self.last_seq}")
+                )
+            # After a failed sync and a kill, the previous segment may hold frames that this one does not repeat.
+            if len(set(sequence_numbers)) != max(sequence_numbers) - min(sequence_numbers) + 1 and not (
+                opening and opening.abandoned
             ):
-                self.findings.append(Finding(name, 0, 0, f"begins with frame {min(seqs)} after {self.last_seq}"))
-            # After a failed sync and a kill, some of what this one repeats may stand in the one before it only.
-            if len(set(seqs)) != max(seqs) - min(seqs) + 1 and not (opening and opening.abandoned):
                 self.findings.append(Finding(name, 0, read.size, "frames are missing between its first and last"))
-        if seqs:
-            self.last_seq = max(seqs)
+        if sequence_numbers:
+            self.last_seq = max(sequence_numbers)
         if read.damages:
             self.last_seq = None
         if read.seal is not None:
@@ -134,17 +142,18 @@
 
 
 def verify(segments, tombs=()):
-    """A Check over (name, bytes) pairs and the Tombs of what was erased, in order."""
-    check = Check()
-    there = {}
-    for tomb in tombs:
-        there[tomb.number] = tomb
+    """The ChainCheck of (name, bytes) pairs and the Tombstones of erased segments, in order."""
+    check = ChainCheck()
+    pending = {}
+    for tombstone in tombs:
+        pending[tombstone.number] = tombstone
     for link in links(segments):
         number = s.number_of(link.name)
-        for erased in sorted(n for n in there if n < number):
-            check.erased(there.pop(erased))
-        there.pop(number, None)  # a kill between its tombstone and its end: it still speaks for itself
+        for number_erased in sorted(n for n in pending if n < number):
+            check.erased(pending.pop(number_erased))
+        # Killed after the tombstone was written and before the segment was deleted: the segment itself is read.
+        pending.pop(number, None)
         check.link(link)
-    for erased in sorted(there):
-        check.erased(there[erased])
+    for number_erased in sorted(pending):
+        check.erased(pending[number_erased])
     return check
--- a/thorndale/records/editions.py
+++ b/thorndale/records/editions.py
@@ -1,12 +1,12 @@
-"""Rated records as files: an edition is a folder written once, a new one stands beside the old, and what differs
-between two can be read.
+"""Rated records as files. An edition is a folder written once; a new edition is written beside the earlier ones, and
+the difference of two editions can be reported.
 
-    edition-0001/lines-PROXY-CHAIN.csv   a line for each record, in the order of the proxy's frames
+    edition-0001/lines-PROXY-CHAIN.csv   one line per record, in the order of the proxy's frames
     edition-0001/totals.csv              client, call type, calls, intervals, amount
     edition-0001/manifest.json           the tariffs' digest, each source's segments, counts, totals, digests
     difference-0001-0002.csv             records whose charge differs, and sums by client and call type
 
-Nothing in an edition tells when it was made: the same records and tariffs give the same bytes.
+An edition holds no time of its making: the same records and tariffs give the same bytes.
 """
 
 import csv
@@ -47,19 +47,19 @@
 
 
 class EditionError(Exception):
-    """What keeps an edition from being made or read, with what to do."""
+    """An edition cannot be made or read; the text tells the operator what to do."""
 
 
 def editions(folder):
-    """Numbers of the editions there, ascending."""
+    """Numbers of the existing editions, ascending."""
     if not os.path.isdir(folder):
         return []
     return sorted(int(found[1]) for found in map(EDITION.match, os.listdir(folder)) if found)
 
 
 def make(folder, tariffs, sources, lines_of):
-    """Rates all lines into the next edition; gives (its number, the manifest). `sources` are read.Source;
-    `lines_of(source, count)` yields its Lines. A half-made one from a kill goes."""
+    """Rates all lines into the next edition; returns (its number, the manifest). `sources`: read.Source objects;
+    `lines_of(source, count)` yields the Lines of one. An unfinished edition left by a kill is deleted."""
     os.makedirs(folder, exist_ok=True)
     lock = Files(folder)
     try:
@@ -74,23 +74,23 @@
 
 def _make(folder, tariffs, sources, lines_of):
     number = (editions(folder) or [0])[-1] + 1
-    half = os.path.join(folder, "edition-new")
-    shutil.rmtree(half, ignore_errors=True)
-    os.makedirs(half)
-    rater, writers, files, passed = Rater(tariffs), {}, {}, Counter()
+    staging = os.path.join(folder, "edition-new")
+    shutil.rmtree(staging, ignore_errors=True)
+    os.makedirs(staging)
+    rater, writers, files, skipped = Rater(tariffs), {}, {}, Counter()
     try:
-        for line in ordered([lines_of(source, passed) for source in sources]):
+        for line in ordered([lines_of(source, skipped) for source in sources]):
             writer = writers.get(line.chain)
             if writer is None:
                 name = f"lines-{line.proxy}-{line.chain}.csv"
-                files[line.chain] = open(os.path.join(half, name), "w", encoding="utf-8", newline="")  # noqa: SIM115
+                files[line.chain] = open(os.path.join(staging, name), "w", encoding="utf-8", newline="")  # noqa: SIM115
                 writer = writers[line.chain] = csv.writer(files[line.chain], lineterminator="\n")
                 writer.writerow(FIELDS)
             writer.writerow(row_of(line, rater.charge(line.record)))
     finally:
         for file in files.values():
             file.close()
-    with open(os.path.join(half, "totals.csv"), "w", encoding="utf-8", newline="") as file:
+    with open(os.path.join(staging, "totals.csv"), "w", encoding="utf-8", newline="") as file:
         out = csv.writer(file, lineterminator="\n")
         out.writerow(("client", "call_type", "calls", "intervals", "amount"))
         out.writerows(rater.summed())
@@ -104,14 +104,14 @@
             "at": tariffs.sheet.rounding.at,
         },
         "sources": sorted([s.chain, s.segments] for s in sources if s.chain),
-        "counts": dict(sorted((rater.counts + passed).items())),
+        "counts": dict(sorted((rater.counts + skipped).items())),
         "total": str(sum((row[4] for row in rater.summed()), Decimal(0))),
-        "files": {name: digest(os.path.join(half, name)) for name in sorted(os.listdir(half))},
+        "files": {name: digest(os.path.join(staging, name)) for name in sorted(os.listdir(staging))},
     }
-    with open(os.path.join(half, "manifest.json"), "w", encoding="utf-8") as file:
+    with open(os.path.join(staging, "manifest.json"), "w", encoding="utf-8") as file:
         json.dump(manifest, file, indent=1, sort_keys=True)
         file.write("\n")
-    os.rename(half, os.path.join(folder, f"edition-{number:04d}"))
+    os.rename(staging, os.path.join(folder, f"edition-{number:04d}"))
     return number, manifest
 
 
@@ -149,84 +149,84 @@
 
 
 def check(folder, number):
-    """Texts of what is wrong with an edition's files."""
+    """Descriptions of the defects in an edition's files."""
     base = os.path.join(folder, f"edition-{number:04d}")
     try:
         with open(os.path.join(base, "manifest.json"), encoding="utf-8") as file:
-            wanted = json.load(file)["files"]
-    except (OSError, ValueError, KeyError) as fault:
-        return [f"{base}/manifest.json: {fault}"]
-    out = []
-    for name, was in wanted.items():
+            expected = json.load(file)["files"]
+    except (OSError, ValueError, KeyError) as error:
+        return [f"{base}/manifest.json: {error}"]
+    defects = []
+    for name, expected_digest in expected.items():
         path = os.path.join(base, name)
         if not os.path.exists(path):
-            out.append(f"{path}: is missing")
-        elif digest(path) != was:
-            out.append(f"{path}: is not as it was written")
-    return out
+            defects.append(f"{path}: is missing")
+        elif digest(path) != expected_digest:
+            defects.append(f"{path}: was changed after it was written")
+    return defects
 
 
 def difference(folder, old, new):
-    """Writes the difference of two editions; gives (its path, Counter, {(client, call type): [old, new]}). Memory
-    does not grow with the records: both are read side by side, each chain in the order of its frames."""
+    """Writes the difference of two editions; returns (its path, Counter, {(client, call type): [old, new]}). Runs in
+    bounded memory: both editions are read in parallel, each chain in the order of its frames."""
     for number in (old, new):
-        wrong = check(folder, number)
-        if wrong:
-            raise EditionError("; ".join(wrong))
-    bases = [os.path.join(folder, f"edition-{n:04d}") for n in (old, new)]
-    names = sorted({n for base in bases for n in os.listdir(base) if n.startswith("lines-")})
+        defects = check(folder, number)
+        if defects:
+            raise EditionError("; ".join(defects))
+    bases = [os.path.join(folder, f"edition-{index:04d}") for index in (old, new)]
+    names = sorted({index for base in bases for index in os.listdir(base) if index.startswith("lines-")})
     count, sums = Counter(), {}
     path = os.path.join(folder, f"difference-{old:04d}-{new:04d}.csv")
     with open(path, "w", encoding="utf-8", newline="") as file:
-        out = csv.writer(file, lineterminator="\n")
-        out.writerow(
+        writer = csv.writer(file, lineterminator="\n")
+        writer.writerow(
             ("what", "lines", "seq", "call", "client", "call_type", "old", "new", "old_tariffs", "new_tariffs")
         )
         for name in names:
-            for what, a, b in _joined(*(os.path.join(base, name) for base in bases)):
-                one = b or a
-                key = (one["client"], one["call_type"])
+            for what, old_row, new_row in _joined(*(os.path.join(base, name) for base in bases)):
+                present = new_row or old_row
+                key = (present["client"], present["call_type"])
                 pair = sums.setdefault(key, [Decimal(0), Decimal(0)])
-                amounts = [row["amount"] if row else "" for row in (a, b)]
-                for n, amount in enumerate(amounts):
-                    pair[n] += Decimal(amount or 0)
+                amounts = [row["amount"] if row else "" for row in (old_row, new_row)]
+                for index, amount in enumerate(amounts):
+                    pair[index] += Decimal(amount or 0)
                 count[what] += 1
                 if what != "same":
-                    out.writerow(
+                    writer.writerow(
                         (
                             what,
                             name[6:-4],
-                            one["seq"],
-                            one["call"],
+                            present["seq"],
+                            present["call"],
                             *key,
                             *amounts,
-                            a["tariffs"] if a else "",
-                            b["tariffs"] if b else "",
+                            old_row["tariffs"] if old_row else "",
+                            new_row["tariffs"] if new_row else "",
                         )
                     )
-        for (client, kind), (a, b) in sorted(sums.items()):
-            out.writerow(("sum", "", "", "", client, kind, a, b, "", ""))
+        for (client, kind), (old_row, new_row) in sorted(sums.items()):
+            writer.writerow(("sum", "", "", "", client, kind, old_row, new_row, "", ""))
     return path, count, sums
 
 
 def _joined(old, new):
-    """(what, old row, new row): same, changed, added, gone."""
+    """Yields (what, old row, new row); `what` is same, changed, added or gone."""
 
     def rows(path):
         if os.path.exists(path):
             with open(path, encoding="utf-8", newline="") as file:
                 yield from csv.DictReader(file)
 
-    left, right = rows(old), rows(new)
-    a, b = next(left, None), next(right, None)
-    while a or b:
-        if b is None or a is not None and int(a["seq"]) < int(b["seq"]):
-            yield "gone", a, None
-            a = next(left, None)
-        elif a is None or int(b["seq"]) < int(a["seq"]):
-            yield "added", None, b
-            b = next(right, None)
+    old_rows, new_rows = rows(old), rows(new)
+    old_row, new_row = next(old_rows, None), next(new_rows, None)
+    while old_row or new_row:
+        if new_row is None or old_row is not None and int(old_row["seq"]) < int(new_row["seq"]):
+            yield "gone", old_row, None
+            old_row = next(old_rows, None)
+        elif old_row is None or int(new_row["seq"]) < int(old_row["seq"]):
+            yield "added", None, new_row
+            new_row = next(new_rows, None)
         else:
-            same = all(a[k] == b[k] for k in ("amount", "intervals", "free", "answered"))
-            yield "same" if same else "changed", a, b
-            a, b = next(left, None), next(right, None)
+            same = all(old_row[k] == new_row[k] for k in ("amount", "intervals", "free", "answered"))
+            yield "same" if same else "changed", old_row, new_row
+            old_row, new_row = next(old_rows, None), next(new_rows, None)
--- a/thorndale/records/export.py
+++ b/thorndale/records/export.py
@@ -1,11 +1,11 @@
-"""Records as batches for others: CSV or Parquet, by time window and by client, to a folder and over HTTP.
+"""Exports records as CSV or Parquet batches, selected by time window and client, to a folder and over HTTP.
 
     export-NAME/batch-000000.csv    at most `size` records each, in the order of rating
     export-NAME/manifest.json       the window, each batch's digest and count, the totals; written last
-    export-NAME/delivered.rec       frames, one for each batch that the collector has said to have stored
+    export-NAME/delivered.rec       frames, one for each batch that the collector has confirmed as stored
 
-The window is by the wall time at which calls ended; its end must lie in the past, else the same export made again
-would hold more. Batches are made in full before the first is sent: from then on they never change.
+The window applies to the wall time at which calls ended; its end must be in the past, else a repeated export would hold
+more records. All batches are complete before the first one is sent and never change afterwards.
 """
 
 import csv
@@ -59,11 +59,11 @@
 
 
 class ExportError(Exception):
-    """What keeps the export from being made, with what to do."""
+    """The export cannot be made; the text tells the operator what to do."""
 
 
 def row_of(line):
-    """Values in the order of SCHEMA; times in us of wall time, None where there is none."""
+    """Values in the order of SCHEMA; times in us of wall time, None if unset."""
     r = line.record
     tries = ";".join(f"{t.server}:{t.outcome}:{t.took_us}" for t in r.tries)
     return (
@@ -99,46 +99,48 @@
 
 
 def make(folder, sources, lines_of, from_us, until_us, client, kind, size):
-    """Writes the batches and the manifest; an export that is there whole is taken as it is. Gives the manifest.
+    """Writes the batches and the manifest, or reuses a complete export; returns the manifest.
 
-    Raises ExportError where the folder holds another one."""
-    asked = {"from_us": from_us, "until_us": until_us, "client": client, "format": kind, "size": size}
+    Raises ExportError if the folder holds a different export."""
+    requested = {"from_us": from_us, "until_us": until_us, "client": client, "format": kind, "size": size}
     path = os.path.join(folder, "manifest.json")
     if os.path.exists(path):
         with open(path, encoding="utf-8") as file:
             manifest = json.load(file)
-        if manifest["asked"] != asked:
-            raise ExportError(f"{folder} holds another export; give a folder of its own to each")
+        if manifest["asked"] != requested:
+            raise ExportError(f"{folder} holds another export; use a separate folder for each")
         for batch in manifest["batches"]:
             if digest(os.path.join(folder, batch["file"])) != batch["sha256"]:
-                raise ExportError(f"{folder}/{batch['file']} is not as it was written; export into a new folder")
+                raise ExportError(
+                    f"{folder}/{batch['file']} was changed after it was written; export into a new folder"
+                )
         return manifest
     os.makedirs(folder, exist_ok=True)
     for name in os.listdir(folder):
-        if name.startswith("batch-"):  # of an export that was stopped before its manifest: begun anew
+        if name.startswith("batch-"):  # left by an export that stopped before its manifest: it is made anew
             os.unlink(os.path.join(folder, name))
-    batches, held, passed = [], [], Counter()
+    batches, rows_pending, skipped = [], [], Counter()
     totals = Counter()
-    for line in ordered([lines_of(source, passed) for source in sources]):
+    for line in ordered([lines_of(source, skipped) for source in sources]):
         ended = line.record.wall_us(line.record.ended_us)
         if not from_us <= ended < until_us or client and line.record.client != client:
             continue
-        held.append(row_of(line))
+        rows_pending.append(row_of(line))
         totals["records"] += 1
         totals["answered"] += line.record.answered == "yes"
         totals["stood_us"] += line.record.stood_for()
-        if len(held) == size:
-            batches.append(_write(folder, len(batches), held, kind))
-            held = []
-    if held:
-        batches.append(_write(folder, len(batches), held, kind))
+        if len(rows_pending) == size:
+            batches.append(_write(folder, len(batches), rows_pending, kind))
+            rows_pending = []
+    if rows_pending:
+        batches.append(_write(folder, len(batches), rows_pending, kind))
     manifest = {
         "format": 1,
-        "asked": asked,
+        "asked": requested,
         "batches": batches,
         "totals": dict(sorted(totals.items())),
-        "passed_over": dict(sorted(passed.items())),
-        "id": hashlib.sha256(json.dumps([asked, batches], sort_keys=True).encode()).hexdigest()[:32],
+        "passed_over": dict(sorted(skipped.items())),
+        "id": hashlib.sha256(json.dumps([requested, batches], sort_keys=True).encode()).hexdigest()[:32],
     }
     fresh = path + ".new"
     with open(fresh, "w", encoding="utf-8") as file:
@@ -155,14 +157,14 @@
     path = os.path.join(folder, name)
     if kind == "csv":
         with open(path, "w", encoding="utf-8", newline="") as file:
-            out = csv.writer(file, lineterminator="\n")
-            out.writerow(SCHEMA.names)
+            writer = csv.writer(file, lineterminator="\n")
+            writer.writerow(SCHEMA.names)
             for row in rows:
-                out.writerow(_text(row))
+                writer.writerow(_text(row))
     else:
         columns = list(zip(*rows, strict=True))
         table = pa.Table.from_arrays(
-            [pa.array(c, type=field.type) for c, field in zip(columns, SCHEMA, strict=True)], schema=SCHEMA
+            [pa.array(column, type=field.type) for column, field in zip(columns, SCHEMA, strict=True)], schema=SCHEMA
         )
         pq.write_table(table, path, compression="zstd", store_schema=False)
     with open(path, "rb") as file:
@@ -185,8 +187,8 @@
 
 
 class State:
-    """Which batches the collector has stored, kept so that a run goes on where the last one stood. Raises LockedError
-    where another export of this folder runs."""
+    """The batches that the collector has stored, persisted so that a later run continues after an interruption. Raises
+    LockedError if another export of this folder is running."""
 
     def __init__(self, folder):
         self.files = Files(folder)
@@ -198,14 +200,14 @@
                 if isinstance(item, f.Frame):
                     self.done.add(item.seq)
                     end = item.end
-            if end != self.files.size(STATE):  # a kill in the middle of a write: that batch is sent again
+            if end != self.files.size(STATE):  # the process was killed during a write: that batch is sent again
                 self.files.cut(STATE, end)
         else:
             self.files.create(STATE)
 
     def stored(self, number):
         self.done.add(number)
-        self.files.append(STATE, f.pack(f.WORD, number, b""))
+        self.files.append(STATE, f.pack(f.RESOLUTION, number, b""))
         self.files.sync(STATE)
 
     def close(self):
--- a/thorndale/records/folder.py
+++ b/thorndale/records/folder.py
@@ -1,21 +1,21 @@
-"""What the operations of the journal and the steps of recovery are on files; any object like Files will do."""
+"""Carries out the journal's operations and recovery's steps on files; `files` is a Files or a test double of it."""
 
 from thorndale.records import frame as f
 from thorndale.records import recover as r
 from thorndale.records import segment as s
-from thorndale.records.journal import opened
-from thorndale.records.record import MAJOR, Tomb, Word, decode, encode
+from thorndale.records.journal import open_bytes
+from thorndale.records.record import MAJOR, Resolution, Tombstone, decode, encode
 
-WORDS, TOMBS = "words-proxy.rec", "tombs.rec"
-KEEP_LAST = 2  # segments that are never erased: recovery and the chain's end need them
+PROXY_RESOLUTIONS, TOMBSTONES = "words-proxy.rec", "tombs.rec"
+KEEP_LAST = 2  # latest segments, never erased: recovery and the end of the chain need them
 
 
 def perform(files, op):
-    """One Op of the journal. Raises OSError."""
+    """Performs one Op of the journal. Raises OSError."""
     name = s.name_of(op.number)
     if op.what == "open":
         files.create(name, op.again)
-        files.append(name, opened(op))
+        files.append(name, open_bytes(op))
         files.sync(name)
         files.sync_folder()
     elif op.what == "write":
@@ -27,7 +27,7 @@
     elif op.what == "seal":
         files.append(name, op.data)
         files.sync(name)
-        files.done_with(name)
+        files.close_file(name)
 
 
 def numbers(files):
@@ -36,38 +36,42 @@
 
 
 def segments(files, wanted=None):
-    """(name, bytes) of each segment, ascending."""
+    """Yields (name, bytes) of each segment, ascending."""
     for number in numbers(files) if wanted is None else wanted:
         name = s.name_of(number)
         yield name, files.read(name)
 
 
 def recovery(files):
-    """The Plan for a folder as it is."""
+    """The recovery Plan for the folder."""
 
     def head(number):
-        return r.head_of(files.read(s.name_of(number)))
+        return r.read_head(files.read(s.name_of(number)))
 
     def sealed(number):
         return s.seal_of(files.read(s.name_of(number))) is not None
 
-    there = numbers(files)
-    plan = r.plan(segments(files, r.needed(there, head, sealed)))
-    tomb = next(reversed(list(tombs(files))), None)
-    if not there and tomb is not None:  # every segment was erased: the chain goes on behind the last tombstone
+    present = numbers(files)
+    plan = r.plan(segments(files, r.segments_needed(present, head, sealed)))
+    tombstone = next(reversed(list(tombs(files))), None)
+    if not present and tombstone is not None:  # all segments were erased: the chain continues after the last tombstone
         plan = plan._replace(
-            number=tomb.number + 1, before=tomb.digest, next_seq=tomb.last_seq + 1, chain=tomb.chain, proxy=tomb.proxy
+            number=tombstone.number + 1,
+            before=tombstone.digest,
+            next_seq=tombstone.last_seq + 1,
+            chain=tombstone.chain,
+            proxy=tombstone.proxy,
         )
     return plan
 
 
 def apply(files, steps):
-    """Does a Plan's steps. Raises OSError; begun anew from a new plan, they end the same."""
-    if steps:  # entries of a killed process may not be on the disk: a later file must not outlive an earlier one
+    """Performs a Plan's steps. Raises OSError; a retry with a new plan leads to the same result."""
+    if steps:  # a killed process may have left directory entries unsynced; files must reach the disk in their order
         files.sync_folder()
     for step in steps:
         if step.what == "aside":
-            _whole(files, step.name, step.data)
+            _write_whole_file(files, step.name, step.data)
         elif step.what == "sync":
             files.sync(step.name)
         elif step.what == "cut":
@@ -76,29 +80,29 @@
             files.remove(step.name)
             files.sync_folder()
         elif step.what == "create":
-            _whole(files, step.name, step.data)
+            _write_whole_file(files, step.name, step.data)
         elif step.what == "add":
             files.append(step.name, step.data)
             files.sync(step.name)
-            files.done_with(step.name)
+            files.close_file(step.name)
 
 
-def _whole(files, name, data):
-    fresh = name + ".new"
-    files.create(fresh, True)
-    files.append(fresh, data)
-    files.sync(fresh)
-    files.rename(fresh, name)
+def _write_whole_file(files, name, data):
+    temporary_name = name + ".new"
+    files.create(temporary_name, True)
+    files.append(temporary_name, data)
+    files.sync(temporary_name)
+    files.rename(temporary_name, name)
     files.sync_folder()
 
 
-def add_word(files, name, seq, word):
-    """Adds to a file of words. Raises OSError."""
-    _add(files, name, seq, f.WORD, encode(word))
+def add_word(files, name, seq, resolution):
+    """Appends a Resolution to a file of them. Raises OSError."""
+    _append_frame(files, name, seq, f.RESOLUTION, encode(resolution))
 
 
-def _add(files, name, seq, kind, body):
-    """Adds a frame to a small file of its own; a tail that an earlier fault left torn is cut first."""
+def _append_frame(files, name, seq, kind, body):
+    """Appends a frame to a separate file; a tail torn by an earlier failure is cut first."""
     if name not in files.names():
         files.create(name)
     else:
@@ -114,40 +118,41 @@
 
 
 def words(files):
-    """{call: Word}, the last word on each call in force."""
+    """{call: Resolution}, the latest one of each call."""
     found = {}
     for name in files.names():
         if name.startswith("words-") and name.endswith(".rec"):
             for item in f.scan(files.read(name)):
-                if isinstance(item, f.Frame) and item.kind == f.WORD and item.major == MAJOR:
-                    word = decode(Word, item.body)
-                    found[word.call] = word
+                if isinstance(item, f.Frame) and item.kind == f.RESOLUTION and item.major == MAJOR:
+                    resolution = decode(Resolution, item.body)
+                    found[resolution.call] = resolution
     return found
 
 
 def tombs(files):
-    """Tombs in the order in which they were written."""
-    if TOMBS in files.names():
-        for item in f.scan(files.read(TOMBS)):
-            if isinstance(item, f.Frame) and item.kind == f.TOMB and item.major == MAJOR:
-                yield decode(Tomb, item.body)
+    """Yields the Tombstones in the order in which they were written."""
+    if TOMBSTONES in files.names():
+        for item in f.scan(files.read(TOMBSTONES)):
+            if isinstance(item, f.Frame) and item.kind == f.TOMBSTONE and item.major == MAJOR:
+                yield decode(Tombstone, item.body)
 
 
 def erase(files, now_wall_us, keep_us):
-    """Erases what is past its age, oldest first; gives the Tombs written. Raises OSError.
+    """Erases expired segments, oldest first; returns the Tombstones written. Raises OSError.
 
-    The tombstone is on the disk before its segment goes: killed in between, the next run finds both and goes on.
+    The tombstone is synced before its segment is deleted: after a kill in between, the next run finds both and
+    continues.
     """
-    there, written = numbers(files), []
-    done = {tomb.number for tomb in tombs(files)}
-    for number, after in zip(there[:-KEEP_LAST], there[1:], strict=False):
+    present, written = numbers(files), []
+    already_erased = {tombstone.number for tombstone in tombs(files)}
+    for number, next_number in zip(present[:-KEEP_LAST], present[1:], strict=False):
         data = files.read(s.name_of(number))
-        tomb = r.tomb_of(number, data, files.read(s.name_of(after)), now_wall_us, keep_us)
-        if tomb is None:
+        tombstone = r.tombstone_of(number, data, files.read(s.name_of(next_number)), now_wall_us, keep_us)
+        if tombstone is None:
             break
-        if number not in done:
-            _add(files, TOMBS, number, f.TOMB, encode(tomb))
-            written.append(tomb)
+        if number not in already_erased:
+            _append_frame(files, TOMBSTONES, number, f.TOMBSTONE, encode(tombstone))
+            written.append(tombstone)
         files.remove(s.name_of(number))
     if written:
         files.sync_folder()
--- a/thorndale/records/frame.py
+++ b/thorndale/records/frame.py
@@ -1,6 +1,6 @@
-"""One entry of a segment as bytes, and the search for entries in bytes that may be damaged.
+"""Encoding of one segment entry, and the scan for entries in bytes that may be damaged.
 
-A frame is a head of 24 bytes and a body:
+A frame is a header of 24 bytes and a body:
 
     0  2  marker C7 52
     2  1  kind (see KINDS)
@@ -9,8 +9,7 @@
     8  8  sequence number, little endian
     16 8  XXH3-64 of bytes 0..15 and the body, little endian (xxHash specification 0.8, seed 0)
 
-The checksum guards against torn and rotten bytes, not against a writer with intent: that is what the segments'
-chained SHA-256 is for.
+The checksum detects torn writes and bit rot. Deliberate changes are detected by the segments' chained SHA-256.
 """
 
 import struct
@@ -19,11 +18,11 @@
 from xxhash import xxh3_64_intdigest
 
 MARKER = b"\xc7R"
-HEAD = struct.Struct("<2sBBIQQ")
-FRONT = struct.Struct("<2sBBIQ")
-BODY_MOST = 1 << 28  # bytes; a length over it is damage. The largest body is the list of open calls, some 20 MB
+HEADER = struct.Struct("<2sBBIQQ")
+CHECKED_HEADER = struct.Struct("<2sBBIQ")
+MAX_BODY_BYTES = 1 << 28  # a longer length is damage; the largest body, the list of open calls, has some 20 MB
 
-OPENING, BEGUN, SENT, ENDED, WHOLE, SETTLED, MARK, CARRY, SEAL, INTENT, TOMB, WORD = range(1, 13)
+OPENING, BEGUN, SENT, ENDED, WHOLE, SETTLED, MARK, CARRY, SEAL, INTENT, TOMBSTONE, RESOLUTION = range(1, 13)
 KINDS = {
     OPENING: "opening",
     BEGUN: "begun",
@@ -35,13 +34,13 @@
     CARRY: "carry",
     SEAL: "seal",
     INTENT: "intent",
-    TOMB: "tombstone",
-    WORD: "word",
+    TOMBSTONE: "tombstone",
+    RESOLUTION: "word",
 }
 
 
 class Frame(NamedTuple):
-    at: int  # offset of its head
+    at: int  # offset of its header
     kind: int
     major: int
     seq: int
@@ -50,7 +49,8 @@
 
 
 class Damage(NamedTuple):
-    """Bytes from `at` to `end` that are no frame. `torn`: they reach to the end, as a write cut short leaves them."""
+    """Bytes from `at` to `end` that are not a frame. `torn`: they reach the end of the data, as an incomplete write
+    does."""
 
     at: int
     end: int
@@ -59,24 +59,24 @@
 
 
 def pack(kind, seq, body, major=1):
-    front = FRONT.pack(MARKER, kind, major, len(body), seq)
-    return front + xxh3_64_intdigest(front + body).to_bytes(8, "little") + body
+    header = CHECKED_HEADER.pack(MARKER, kind, major, len(body), seq)
+    return header + xxh3_64_intdigest(header + body).to_bytes(8, "little") + body
 
 
 def read(data, at):
-    """The Frame at this offset, or the reason why there is none."""
-    if at + HEAD.size > len(data):
+    """The Frame at this offset, or a string with the reason why none can be read."""
+    if at + HEADER.size > len(data):
         return "head cut short"
-    marker, kind, major, length, seq, check = HEAD.unpack_from(data, at)
+    marker, kind, major, length, seq, checksum = HEADER.unpack_from(data, at)
     if marker != MARKER:
         return "no marker"
-    end = at + HEAD.size + length
-    if length > BODY_MOST:
-        return "length beyond any frame's"
+    end = at + HEADER.size + length
+    if length > MAX_BODY_BYTES:
+        return "length exceeds the maximum"
     if end > len(data):
         return "body cut short"
-    body = bytes(data[at + HEAD.size : end])
-    if xxh3_64_intdigest(bytes(data[at : at + 16]) + body) != check:
+    body = bytes(data[at + HEADER.size : end])
+    if xxh3_64_intdigest(bytes(data[at : at + 16]) + body) != checksum:
         return "checksum differs"
     return Frame(at, kind, major, seq, body, end)
 
@@ -84,25 +84,25 @@
 def scan(data, at=0):
     """Yields Frames and Damages, in order, until the end of `data`.
 
-    After damage the next marker from which a whole frame with a fitting checksum reads is where it goes on. Damage
-    that nothing follows is torn: whether it was a write cut short or rot in the last frame can't be told apart.
+    After damage the scan continues at the next marker that starts a complete frame with a correct checksum. Damage up
+    to the end is reported as torn: an incomplete write and bit rot in the last frame cannot be distinguished.
     """
     data = memoryview(data)
-    whole = data.obj if isinstance(data.obj, (bytes, bytearray)) and len(data.obj) == len(data) else bytes(data)
+    buffer = data.obj if isinstance(data.obj, (bytes, bytearray)) and len(data.obj) == len(data) else bytes(data)
     size = len(data)
     while at < size:
-        found = read(data, at)
-        if isinstance(found, Frame):
-            yield found
-            at = found.end
+        frame_or_reason = read(data, at)
+        if isinstance(frame_or_reason, Frame):
+            yield frame_or_reason
+            at = frame_or_reason.end
             continue
-        after = at
+        candidate = at
         while True:
-            after = whole.find(MARKER, after + 1)
-            if after < 0:
-                yield Damage(at, size, True, found)
+            candidate = buffer.find(MARKER, candidate + 1)
+            if candidate < 0:
+                yield Damage(at, size, True, frame_or_reason)
                 return
-            if isinstance(read(data, after), Frame):
-                yield Damage(at, after, False, found)
-                at = after
+            if isinstance(read(data, candidate), Frame):
+                yield Damage(at, candidate, False, frame_or_reason)
+                at = candidate
                 break
--- a/thorndale/records/fold.py
+++ b/thorndale/records/frame_replay.py
@@ -1,9 +1,9 @@
-"""From frames to records: the life of a record as its frames tell it.
+"""Replays frames into finished records. The states of a call and the frames that change them:
 
     (nothing) --intent--> begun --begun--> begun --sent--> answered --ended--> over
     (nothing) --whole--> over; begun, answered --settled--> over
 
-A frame that has no place in the state is passed over: it is a repeat, as a failed sync leaves them.
+A frame that does not fit the state is ignored: it is a copy that was written again after a failed sync.
 """
 
 from typing import NamedTuple
@@ -11,12 +11,12 @@
 from thorndale.records import frame as f
 from thorndale.records.record import DOUBT, MAJOR, YES, Mark, Record, Sent, decode
 
-OVER = (f.ENDED, f.WHOLE, f.SETTLED)
+CLOSING_KINDS = (f.ENDED, f.WHOLE, f.SETTLED)
 STOPPED = "proxy stopped"
 
 
 class Line(NamedTuple):
-    """A finished record with whose it is."""
+    """A finished record with its origin."""
 
     proxy: str
     chain: str
@@ -26,12 +26,12 @@
     record: Record
 
 
-class Fold:
-    """`take(opening, frame)` gives the Line that the frame finishes, or None."""
+class Replay:
+    """`take(opening, frame)` returns the Line that the frame finishes, or None."""
 
     def __init__(self):
         self.open = {}  # call: [boot, Record]
-        self.last_us = {}  # boot: the last time known in it
+        self.last_known_us = {}  # boot: the last known time in it
         self.last_seq, self.boot = -1, ""
         self.faulty, self.newer, self.lost = 0, 0, 0
 
@@ -64,19 +64,19 @@
         self.last_seq = item.seq
         if kind == f.MARK:
             mark = decode(Mark, item.body)
-            self._saw(opening.boot, mark.at_us)
+            self._advance_last_time(opening.boot, mark.at_us)
             self.lost = max(self.lost, mark.lost)
         elif kind == f.SENT:
             self._sent(item)
         elif kind in (f.BEGUN, f.INTENT):
             record = decode(Record, item.body)
-            self._saw(opening.boot, max(record.came_us, record.stood_us))
+            self._advance_last_time(opening.boot, max(record.came_us, record.stood_us))
             self._begin(opening.boot, kind, record)
-        elif kind in OVER:
+        elif kind in CLOSING_KINDS:
             record = decode(Record, item.body)
             boot, _ = self.open.pop(record.call, (opening.boot, None))
-            if kind != f.SETTLED:  # what recovery adds must not move the last time known
-                self._saw(opening.boot, record.ended_us)
+            if kind != f.SETTLED:  # frames added by recovery must not advance the last known time
+                self._advance_last_time(opening.boot, record.ended_us)
             return Line(opening.proxy, opening.chain, boot, item.seq, kind == f.SETTLED, record)
         return None
 
@@ -89,22 +89,22 @@
             if call in self.open:
                 self.open[call][1].answered = YES
 
-    def _saw(self, boot, us):
-        if us > self.last_us.get(boot, 0):
-            self.last_us[boot] = us
+    def _advance_last_time(self, boot, us):
+        if us > self.last_known_us.get(boot, 0):
+            self.last_known_us[boot] = us
 
     def settled(self):
-        """The records of the calls that are open, closed: the proxy stopped at the last time known of its boot. The
-        same frames give the same records, however often they are asked for."""
-        out = []
+        """Closed records of the calls still open: the proxy stopped at the last known time of its boot. Deterministic:
+        the same frames always give the same records."""
+        records = []
         for call in sorted(self.open):
             boot, record = self.open[call]
-            last = max(self.last_us.get(boot, 0), record.stood_us, record.came_us)
-            out.append((boot, closed(record, last)))
-        return out
+            stopped_us = max(self.last_known_us.get(boot, 0), record.stood_us, record.came_us)
+            records.append((boot, close_record(record, stopped_us)))
+        return records
 
 
-def closed(record, last_us):
+def close_record(record, last_known_us):
     values = {name: getattr(record, name) for name in record.__struct_fields__}
-    values.update(ended_us=last_us, how=STOPPED, by="proxy")
+    values.update(ended_us=last_known_us, how=STOPPED, by="proxy")
     return Record(**values)
--- a/thorndale/records/hand.py
+++ b/thorndale/records/io_worker.py
@@ -1,10 +1,10 @@
-"""The disk's hand: a process of its own that does the operations, and the loop's end of the socket to it.
+"""The I/O worker: a separate process that performs file operations, and the event loop's end of the socket to it.
 
-Threads were tried first: each write cost the loop two turns of the interpreter's lock, and answers waited 10 ms and
-more for theirs under load. A process shares no lock. It outlives a proxy that is killed until it has done what was sent
-to it, holding the folder's lock meanwhile; it ends when the socket does.
+A thread would share the interpreter lock with the loop: each write costs the loop two switches of the lock, and under
+load answers wait 10 ms and more for it. A process has its own lock. If the proxy is killed, the worker first completes
+the jobs already sent to it, holding the folder's lock meanwhile; it ends when the socket is closed.
 
-Messages are a length of 4 bytes and a pickle, from this program to itself over a socket pair that nobody else has.
+Messages are a length of 4 bytes and a pickle; both ends of the private socket pair run this program.
 """
 
 import pickle
@@ -20,33 +20,34 @@
 from thorndale.records.files import Files
 
 LENGTH = struct.Struct("<I")
-READ = 1 << 20
+READ_BYTES = 1 << 20
 
 
-class Hand:
-    """`done(serial, fault, result)` is called on the loop for each piece of work; `lost()` once if the process ends."""
+class IoWorker:
+    """Calls `done(serial, error, result)` on the loop for each job, and `lost()` once if the process ends."""
 
     def __init__(self, loop, files, done, lost):
         self.loop, self.files, self.done, self.lost = loop, files, done, lost
-        self.serial, self.unsent, self.held = 0, deque(), bytearray()
-        self.sock, far = socket.socketpair()
+        self.serial, self.unsent, self.buffer = 0, deque(), bytearray()
+        self.sock, worker_sock = socket.socketpair()
         self.sock.setblocking(False)
         self.writing = False
-        # Signals to the proxy's group are for the proxy: it tells its hand when to end by closing the socket.
+        # A session of its own: signals to the proxy's process group must not end the worker; the proxy ends it by
+        # closing the socket.
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "thorndale.records.hand", files.folder, str(far.fileno())],
+            [sys.executable, "-m", "thorndale.records.io_worker", files.folder, str(worker_sock.fileno())],
             stdin=subprocess.DEVNULL,
             stdout=subprocess.DEVNULL,
-            pass_fds=(far.fileno(), files.lock_fd),
+            pass_fds=(worker_sock.fileno(), files.lock_fd),
             start_new_session=True,
         )
-        far.close()
+        worker_sock.close()
         loop.add_reader(self.sock, self._read)
 
-    def submit(self, what, *args):
-        """Sends work; gives its serial number."""
+    def submit(self, kind, *args):
+        """Sends a job; returns its serial number."""
         self.serial += 1
-        body = pickle.dumps((self.serial, what, args), pickle.HIGHEST_PROTOCOL)
+        body = pickle.dumps((self.serial, kind, args), pickle.HIGHEST_PROTOCOL)
         data = LENGTH.pack(len(body)) + body
         if not self.unsent:
             try:
@@ -54,7 +55,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                return self.serial  # it has ended: `lost` tells
+                return self.serial  # the process has ended, which `lost` reports
             if sent == len(data):
                 return self.serial
             data = data[sent:]
@@ -81,7 +82,7 @@
 
     def _read(self):
         try:
-            data = self.sock.recv(READ)
+            data = self.sock.recv(READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -90,19 +91,19 @@
             self.close()
             self.lost()
             return
-        self.held += data
-        at, size = 0, len(self.held)
+        self.buffer += data
+        at, size = 0, len(self.buffer)
         while size - at >= 4:
-            end = at + 4 + LENGTH.unpack_from(self.held, at)[0]
+            end = at + 4 + LENGTH.unpack_from(self.buffer, at)[0]
             if end > size:
                 break
-            serial, fault, result = pickle.loads(self.held[at + 4 : end])
+            serial, error, result = pickle.loads(self.buffer[at + 4 : end])
             at = end
-            self.done(serial, fault, result)
-        del self.held[:at]
+            self.done(serial, error, result)
+        del self.buffer[:at]
 
     def close(self):
-        """Ends it once it has done what it was sent."""
+        """Ends the worker once it has completed the jobs sent so far."""
         if self.sock.fileno() >= 0:
             self.loop.remove_reader(self.sock)
             if self.writing:
@@ -118,60 +119,60 @@
 
 
 def main(folder, number):
-    """The process: works until the socket ends."""
+    """The worker process: runs jobs until the socket is closed."""
     for name in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         signal.signal(name, signal.SIG_IGN)
     sock, files, lock = socket.socket(fileno=number), Files(folder), threading.Lock()
     syncs, ready = deque(), threading.Semaphore(0)
 
-    def act(serial, what, args):
-        fault, result = "", None
+    def run_job(serial, kind, args):
+        error, result = "", None
         try:
-            if what == "op":
+            if kind == "op":
                 fo.perform(files, args[0])
-            elif what == "word":
+            elif kind == "word":
                 fo.add_word(files, *args)
-            elif what == "erase":
+            elif kind == "erase":
                 result = [(t.number, t.records) for t in fo.erase(files, *args)]
-        except OSError as error:
-            fault = f"{args[0].what if what == 'op' else what}: {error.strerror or error}"
-        except Exception as error:  # noqa: BLE001 - a fault of ours must not leave the journal waiting for ever
-            fault = f"{what}: {error!r}"
-        body = pickle.dumps((serial, fault, result), pickle.HIGHEST_PROTOCOL)
+        except OSError as exc:
+            error = f"{args[0].what if kind == 'op' else kind}: {exc.strerror or exc}"
+        except Exception as exc:  # noqa: BLE001 - a bug must not leave the journal waiting for ever
+            error = f"{kind}: {exc!r}"
+        body = pickle.dumps((serial, error, result), pickle.HIGHEST_PROTOCOL)
         try:
             with lock:
                 sock.sendall(LENGTH.pack(len(body)) + body)
         except OSError:
-            pass  # the proxy is gone; what it had sent is still done
+            pass  # the proxy has ended; the jobs that it sent are still done
 
     def sync():
         while True:
             ready.acquire()
-            act(*syncs.popleft())
+            run_job(*syncs.popleft())
 
     threading.Thread(target=sync, daemon=True).start()
-    held = bytearray()
+    buffer = bytearray()
     while True:
         try:
-            data = sock.recv(READ)
+            data = sock.recv(READ_BYTES)
         except OSError:
-            return  # the proxy was killed with results unread; what it had sent was read first
+            return  # the proxy was killed with results unread; the jobs that it sent were read before
         if not data:
             return
-        held += data
+        buffer += data
         at = 0
-        while len(held) - at >= 4:
-            end = at + 4 + LENGTH.unpack_from(held, at)[0]
-            if end > len(held):
+        while len(buffer) - at >= 4:
+            end = at + 4 + LENGTH.unpack_from(buffer, at)[0]
+            if end > len(buffer):
                 break
-            work = pickle.loads(held[at + 4 : end])
+            job = pickle.loads(buffer[at + 4 : end])
             at = end
-            if work[1] == "op" and work[2][0].what == "sync":
-                syncs.append(work)
+            if job[1] == "op" and job[2][0].what == "sync":
+                syncs.append(job)
                 ready.release()
             else:
-                act(*work)
-        del held[:at]
+                run_job(*job)
+        del buffer[:at]
 
 
 if __name__ == "__main__":
--- a/thorndale/records/rate.py
+++ b/thorndale/records/rate.py
@@ -1,9 +1,9 @@
-"""What each call costs: pure, and the same bytes for the same records and tariffs.
+"""Rates calls: pure and deterministic, the same records and tariffs give the same bytes.
 
-A call is charged if its caller was answered with a 200. It has begun its first interval even if it stood for no time;
-each interval costs what the tariff says at the moment when it begins, so a call over midnight pays both prices. Free
-shares and quotas are used up in the order in which calls ended, by wall time, then by proxy and sequence number. A
-call in doubt (`answered` 'doubt') costs nothing until `thorndale records settle` says what became of it.
+A call is charged if its caller was answered with a 200. Even a call of zero duration is charged its first interval.
+Each interval costs the price in force when it begins, so a call across midnight may be charged at two prices. Free
+allowances and quotas are used up in the order in which calls ended, by wall time, then by proxy and sequence number. A
+call in doubt (`answered` is 'doubt') costs nothing until `thorndale records settle` resolves it.
 """
 
 import heapq
@@ -17,7 +17,7 @@
 
 
 class Charge(NamedTuple):
-    """`amount` None: could not be rated, `why` tells. `intervals` begun, of which `free` cost nothing."""
+    """`amount`: None if the call could not be rated; `why` is the reason. `free`: how many `intervals` are free."""
 
     amount: object
     intervals: int
@@ -29,11 +29,11 @@
 class Rater:
     def __init__(self, tariffs):
         self.tariffs = tariffs
-        self.used = {}  # (entry, 'free' or 'quota', client, period): used so far
+        self.used = {}  # (entry, 'free' or 'quota', client, period): number used so far
         self.totals, self.counts = {}, Counter()
 
     def charge(self, record):
-        """The Charge of one Record; calls must come in their order, since shares are used up."""
+        """The Charge of one Record. Records must be passed in order, since allowances are used up."""
         found = self._charge(record)
         self.counts["rated" if found.amount is not None else "unrated"] += 1
         if record.answered == DOUBT:
@@ -53,77 +53,92 @@
         key = tariffs.key_of(record.call_type, record.client, record.number)
         if key is None:
             return Charge(None, 0, 0, (), "no tariff fits")
-        at = record.wall_us(record.stood_us)
-        end = at + record.stood_for()
-        found = tariffs.at(key, at)
-        if found is None:
+        interval_start_us = record.wall_us(record.stood_us)
+        end_us = interval_start_us + record.stood_for()
+        rate_and_change = tariffs.at(key, interval_start_us)
+        if rate_and_change is None:
             return Charge(None, 0, 0, (), "outside the tariffs' dates")
-        rate, change = found
+        rate, next_change_us = rate_and_change
         call_price, minimum = rate.per_call, rate.minimum
-        beyond = self._take(rate, "quota", record, at, 1, 0) if rate.entry.quota and rate.entry.quota.calls else None
+        beyond = (
+            self._use_allowance(rate, "quota", record, interval_start_us, 1, 0)
+            if rate.entry.quota and rate.entry.quota.calls
+            else None
+        )
         if beyond:
             call_price = rate.beyond[0]
-        gift = self._take(rate, "free", record, at, 1, 0) if rate.entry.free and rate.entry.free.calls else None
-        gift = gift == 0
-        amount, intervals, free, names = ZERO if gift else call_price, 0, 0, []
+        free_call = (
+            self._use_allowance(rate, "free", record, interval_start_us, 1, 0)
+            if rate.entry.free and rate.entry.free.calls
+            else None
+        )
+        free_call = free_call == 0
+        amount, intervals, free_intervals, tariff_names = ZERO if free_call else call_price, 0, 0, []
         while True:
-            stop = min(end, change)
-            count = max(1, -(-(stop - at) // rate.interval_us))
-            cost, spared = self._intervals(rate, record, at, count, gift)
+            price_end_us = min(end_us, next_change_us)
+            count = max(1, -(-(price_end_us - interval_start_us) // rate.interval_us))
+            cost, free_here = self._intervals(rate, record, interval_start_us, count, free_call)
             amount += cost
-            free += spared
+            free_intervals += free_here
             intervals += count
-            if rate.name not in names:
-                names.append(rate.name)
-            at += count * rate.interval_us
-            if at >= end:
+            if rate.name not in tariff_names:
+                tariff_names.append(rate.name)
+            interval_start_us += count * rate.interval_us
+            if interval_start_us >= end_us:
                 break
-            found = tariffs.at(key, at)
-            if found is None:
-                return Charge(None, intervals, free, tuple(names), "runs past the tariffs' dates")
-            rate, change = found
-        if not gift and free < intervals:
+            rate_and_change = tariffs.at(key, interval_start_us)
+            if rate_and_change is None:
+                return Charge(None, intervals, free_intervals, tuple(tariff_names), "runs past the tariffs' dates")
+            rate, next_change_us = rate_and_change
+        if not free_call and free_intervals < intervals:
             amount = max(amount, minimum)
         if tariffs.sheet.rounding.at == "call":
             amount = tariffs.rounded(amount)
-        return Charge(amount, intervals, free, tuple(names), "")
+        return Charge(amount, intervals, free_intervals, tuple(tariff_names), "")
 
-    def _intervals(self, rate, record, at, count, gift):
-        """(what `count` intervals cost that begin from `at` on, how many of them were free)."""
-        if gift:
+    def _intervals(self, rate, record, start_us, count, free_call):
+        """(cost of `count` intervals from `start_us` on, how many of them are free)."""
+        if free_call:
             return ZERO, count
-        entry, free = rate.entry, 0
+        entry, free_intervals = rate.entry, 0
         if entry.free is not None and entry.free.intervals:
-            free = count - self._take(rate, "free", record, at, 0, count)
-        paid, over = count - free, 0
-        if entry.quota is not None and entry.quota.intervals and paid:
-            over = self._take(rate, "quota", record, at, 0, paid)
-        dear = rate.beyond[1] if rate.beyond else rate.per_interval
+            free_intervals = count - self._use_allowance(rate, "free", record, start_us, 0, count)
+        charged, beyond_quota = count - free_intervals, 0
+        if entry.quota is not None and entry.quota.intervals and charged:
+            beyond_quota = self._use_allowance(rate, "quota", record, start_us, 0, charged)
+        price_beyond = rate.beyond[1] if rate.beyond else rate.per_interval
         if entry.quota is not None and entry.quota.calls:
-            over = paid if self._over_calls(rate, record, at) else 0
-        return (paid - over) * rate.per_interval + over * dear, free
-
-    def _over_calls(self, rate, record, at):
-        share = rate.entry.quota
-        return self.used.get((rate.name, "quota", record.client, self.tariffs.period(share, at)), 0) > share.calls
-
-    def _take(self, rate, what, record, at, calls, intervals):
-        """Uses up a share; gives how many of the calls or intervals find it used up."""
-        share = getattr(rate.entry, what)
-        key = (rate.name, what, record.client, self.tariffs.period(share, at))
-        before, most, wanted = self.used.get(key, 0), share.calls or share.intervals, calls or intervals
-        if what == "quota" or before < most:
-            self.used[key] = before + wanted
-        return wanted - min(wanted, max(0, most - before))
+            beyond_quota = charged if self._over_calls(rate, record, start_us) else 0
+        return (charged - beyond_quota) * rate.per_interval + beyond_quota * price_beyond, free_intervals
+
+    def _over_calls(self, rate, record, start_us):
+        allowance = rate.entry.quota
+        return (
+            self.used.get((rate.name, "quota", record.client, self.tariffs.period(allowance, start_us)), 0)
+            > allowance.calls
+        )
+
+    def _use_allowance(self, rate, kind, record, start_us, calls, intervals):
+        """Uses up an allowance; returns how many of the calls or intervals exceed it."""
+        allowance = getattr(rate.entry, kind)
+        key = (rate.name, kind, record.client, self.tariffs.period(allowance, start_us))
+        used_before, limit, requested = (
+            self.used.get(key, 0),
+            allowance.calls or allowance.intervals,
+            calls or intervals,
+        )
+        if kind == "quota" or used_before < limit:
+            self.used[key] = used_before + requested
+        return requested - min(requested, max(0, limit - used_before))
 
     def summed(self):
-        """Rows (client, call type, calls, intervals, amount), sorted, rounded as stated."""
+        """Rows (client, call type, calls, intervals, amount), sorted, rounded as the tariffs specify."""
         return [(*key, *values[:2], self.tariffs.rounded(values[2])) for key, values in sorted(self.totals.items())]
 
 
 def ordered(streams):
-    """Lines of several sources, each an iterable in its own order, merged by the wall time of their ends. Within a
-    source the order stays, whatever a stepping clock wrote: what comes later counts as not before."""
+    """Merges the Lines of several sources by the wall time at which calls ended. The order within a source is kept even
+    if its clock was stepped: a later line counts as not earlier than the one before it."""
 
     def keyed(number, lines):
         latest = 0
--- a/thorndale/records/read.py
+++ b/thorndale/records/read.py
@@ -1,4 +1,4 @@
-"""Finished records of one folder or of many, in the order of each proxy's frames; memory does not grow with them."""
+"""Reads the finished records of folders, each in the order of its proxy's frames, in bounded memory."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -7,13 +7,13 @@
 from thorndale.records import folder as fo
 from thorndale.records import frame as f
 from thorndale.records import segment as s
-from thorndale.records.fold import OVER, Fold, Line
+from thorndale.records.frame_replay import CLOSING_KINDS, Line, Replay
 from thorndale.records.record import DOUBT, MAJOR, NO, YES, Record, decode
-from thorndale.records.recover import head_of
+from thorndale.records.recover import read_head
 
 
 class Source(NamedTuple):
-    """A folder with what it is known by: chain '' for an empty one."""
+    """A folder and its identity; `chain` is '' for an empty folder."""
 
     name: str
     files: object
@@ -22,10 +22,10 @@
     size: int
 
 
-def lines(files, count=None, fold=None):
-    """Yields a Line for each finished record that is no withdrawn one. `count` gathers what was passed over."""
+def lines(files, count=None, replayed=None):
+    """Yields a Line for each finished record that was not withdrawn. `count` counts what was skipped."""
     count = Counter() if count is None else count
-    fold = fold or Fold()
+    replayed = replayed or Replay()
     words = fo.words(files)
     for group in c.groups(c.links(fo.segments(files))):
         for link in group:
@@ -34,70 +34,68 @@
             if link.read.opening is None and link.read.size:
                 count["unreadable segments"] += 1
         for opening, item in c.frames(group):
-            line = fold.take(opening, item)
+            line = replayed.take(opening, item)
             if line is None:
                 continue
-            word = words.get(line.record.call)
-            if word is not None and word.word == "withdrawn":
+            resolution = words.get(line.record.call)
+            if resolution is not None and resolution.word == "withdrawn":
                 count["withdrawn"] += 1
                 continue
-            if word is not None and line.record.answered == DOUBT:
-                line.record.answered = YES if word.word == "yes" else NO
+            if resolution is not None and line.record.answered == DOUBT:
+                line.record.answered = YES if resolution.word == "yes" else NO
             count["records"] += 1
             yield line
-    count["open"] = len(fold.open)
-    count["faulty"] = fold.faulty
-    count["lost"] = fold.lost
+    count["open"] = len(replayed.open)
+    count["faulty"] = replayed.faulty
+    count["lost"] = replayed.lost
 
 
 def find(files, call):
-    """Lines of one call, by the segments' indices: only what may hold it is read. A segment without a seal is read
-    whole."""
+    """Yields the Line of one call, looked up in the segments' indices; a segment without a seal is scanned whole."""
     words = fo.words(files)
     for name, data in fo.segments(files):
-        seal, (opening, _) = s.seal_of(data), head_of(data)
+        seal, (opening, _) = s.seal_of(data), read_head(data)
         if opening is None:
             continue
         if seal is None:
-            found = [item for item in s.parse(name, data).frames if item.kind in OVER]
+            candidates = [item for item in s.parse(name, data).frames if item.kind in CLOSING_KINDS]
         else:
-            found = [f.read(data, at) for at in s.place(seal.index, call)]
-        for item in found:
-            if not isinstance(item, f.Frame) or item.kind not in OVER or item.major != MAJOR:
+            candidates = [f.read(data, at) for at in s.offsets_of(seal.index, call)]
+        for item in candidates:
+            if not isinstance(item, f.Frame) or item.kind not in CLOSING_KINDS or item.major != MAJOR:
                 continue
             record = decode(Record, item.body)
             if record.call == call:
-                word = words.get(call)
-                if word is not None and record.answered == DOUBT:
-                    record.answered = YES if word.word == "yes" else NO
+                resolution = words.get(call)
+                if resolution is not None and record.answered == DOUBT:
+                    record.answered = YES if resolution.word == "yes" else NO
                 yield Line(opening.proxy, opening.chain, opening.boot, item.seq, item.kind == f.SETTLED, record)
                 return
 
 
 def source(name, files):
     chain = ""
-    there = fo.numbers(files)
-    for _, data in fo.segments(files, there[:1]):
-        first = next(f.scan(data), None)
-        if isinstance(first, f.Frame) and first.kind == f.OPENING:
-            chain = head_of(data)[0].chain
+    segment_numbers = fo.numbers(files)
+    for _, data in fo.segments(files, segment_numbers[:1]):
+        first_frame = next(f.scan(data), None)
+        if isinstance(first_frame, f.Frame) and first_frame.kind == f.OPENING:
+            chain = read_head(data)[0].chain
     size = sum(files.size(n) for n in files.names() if n.endswith(".seg"))
-    return Source(name, files, chain, len(there), size)
+    return Source(name, files, chain, len(segment_numbers), size)
 
 
 def distinct(sources):
-    """The sources, without those that are copies of another: of folders with one chain the one that goes furthest
-    stays. Gives (kept, [(copy, of)])."""
-    best = {}
-    for item in sources:
-        if item.chain:
-            known = best.get(item.chain)
-            if known is None or (item.segments, item.size) > (known.segments, known.size):
-                best[item.chain] = item
+    """Drops copies: of several folders with the same chain the longest is kept. Returns (kept, [(copy, original)])."""
+    longest = {}
+    for candidate in sources:
+        if candidate.chain:
+            best_so_far = longest.get(candidate.chain)
+            if best_so_far is None or (candidate.segments, candidate.size) > (best_so_far.segments, best_so_far.size):
+                longest[candidate.chain] = candidate
     kept, copies = [], []
-    for item in sources:
-        if not item.chain or best[item.chain] is item:
-            kept.append(item)
+    for candidate in sources:
+        if not candidate.chain or longest[candidate.chain] is candidate:
+            kept.append(candidate)
         else:
-            copies.append((item.name, best[item.chain].name))
+            copies.append((candidate.name, longest[candidate.chain].name))
     return kept, copies
--- a/thorndale/records/record.py
+++ b/thorndale/records/record.py
@@ -1,19 +1,19 @@
-"""What is kept of a call. Times are whole microseconds of the proxy's own clock, which runs on through a boot;
-`anchor_us` added to one of them gives wall time since 1970. A wall clock that steps moves no record's times apart.
+"""The stored data of a call. Times are whole microseconds of the proxy's monotonic clock within one boot; adding
+`anchor_us` gives wall time since 1970. A step of the wall clock therefore does not change the durations in a record.
 
-On disk a record is a msgpack array (msgspec): fields are only ever added at its end, so that an older reader passes
-over what it does not know and a newer one fills in what is not there. What could not be read so is a new major.
+On disk a record is a msgpack array (msgspec). Fields are only ever added at its end: an older reader ignores fields
+that it does not know, a newer reader fills in defaults. Any other change of format takes a new major version.
 """
 
 import msgspec
 
 MAJOR = 1
 
-YES, NO, DOUBT = "yes", "no", "doubt"  # whether the caller was answered with a 200; doubt: stopped just then
+YES, NO, DOUBT = "yes", "no", "doubt"  # whether the caller was answered with a 200; doubt: the proxy stopped meanwhile
 
 
 class Try(msgspec.Struct, array_like=True, frozen=True):
-    """One seizure: which server, how it ended, when it went out and how long it took (us)."""
+    """One seizure: the server, its outcome, when it was sent and how long it took (us)."""
 
     server: str
     outcome: str
@@ -22,15 +22,15 @@
 
 
 class Record(msgspec.Struct, array_like=True, kw_only=False):
-    """`how`: completed, cut, rejected, released, left, refused, proxy stopped and so on; `by`: who ended it: caller,
-    server or proxy. `status` is the final answer's. `answered` is yes, no or doubt."""
+    """`how`: completed, cut, rejected, released, left, refused, proxy stopped and so on. `by`: who ended the call:
+    caller, server or proxy. `status`: that of the final answer. `answered`: yes, no or doubt."""
 
     call: str
     caller_leg: str = ""  # the caller's Call-ID
     caller_tag: str = ""  # its From tag
     server_leg: str = ""  # the Call-ID towards the server
     came_us: int = 0
-    stood_us: int = 0  # 0: it never stood
+    stood_us: int = 0  # when the call was answered with a 200; 0: never
     ended_us: int = 0
     anchor_us: int = 0
     call_type: str = ""
@@ -48,25 +48,25 @@
     status: int = 0
     how: str = ""
     by: str = ""
-    caller_seq: int = 0  # the CSeq of the caller's INVITE: the same again is a repeat, a higher one a new try
+    caller_seq: int = 0  # CSeq of the caller's INVITE: the same is a retransmission, a higher one a new attempt
 
     def wall_us(self, at):
         return at + self.anchor_us
 
     def stood_for(self):
-        """us that it stood; never under 0, whatever a damaged clock wrote."""
+        """us from the answer to the end of the call; never negative, even if a faulty clock wrote the times."""
         return max(0, self.ended_us - self.stood_us) if self.stood_us else 0
 
 
 class Opening(msgspec.Struct, array_like=True):
-    """The first frame of a segment. `before` is the digest that seals segment `number` - 1, or that of the last one
-    that was sealed where those in `abandoned` lie between: a sync failed in them, and what had not been synced
-    stands again, under the same sequence numbers, in this one."""
+    """The first frame of a segment. `before` is the digest in the seal of segment `number` - 1, or of the last sealed
+    one if the segments in `abandoned` lie between: a sync failed in them, and their unsynced frames are repeated in
+    this one under the same sequence numbers."""
 
     proxy: str
-    chain: str  # 16 hex digits drawn when the folder was first used
+    chain: str  # 16 random hex digits, chosen when the folder is first used
     number: int
-    boot: str  # 16 hex digits drawn at each start
+    boot: str  # 16 random hex digits, chosen at each start
     first_seq: int
     before: str
     anchor_us: int
@@ -75,8 +75,8 @@
 
 
 class Seal(msgspec.Struct, array_like=True):
-    """The last frame of a segment. `digest`: SHA-256 of all bytes before it. `index`: 16 bytes for each call's frame,
-    XXH64 of the call and the offset, little endian. `damaged`: ranges that recovery found and could not read."""
+    """The last frame of a segment. `digest`: SHA-256 of all bytes before it. `index`: 16 bytes per indexed frame, the
+    XXH64 of the call and the offset, little endian. `damaged`: byte ranges that recovery could not read."""
 
     digest: str
     frames: int
@@ -88,8 +88,8 @@
     damaged: list[tuple[int, int]] = []
 
 
-class Tomb(msgspec.Struct, array_like=True):
-    """Stands for a segment that was erased: what readers need to go on along the chain. Times in us of wall time."""
+class Tombstone(msgspec.Struct, array_like=True):
+    """Replaces an erased segment: what readers need to follow the chain across it. Times in us of wall time."""
 
     proxy: str
     chain: str
@@ -103,9 +103,9 @@
     why: str = "age"
 
 
-class Word(msgspec.Struct, array_like=True):
-    """What was learnt later of a call whose record stands: `yes` or `no`, it was answered; `withdrawn`, its caller
-    had seen nothing of it and began anew, so that it is no call of its own."""
+class Resolution(msgspec.Struct, array_like=True):
+    """A later correction to a written record. `word`: `yes` or `no`, whether the call was answered; `withdrawn`, the
+    caller received no answer and repeated its INVITE, so that this record is not a call of its own."""
 
     call: str
     word: str
@@ -114,7 +114,7 @@
 
 
 class Mark(msgspec.Struct, array_like=True):
-    """The proxy still ran at this time; `wall_us` is what the wall clock said, which may have stepped."""
+    """A heartbeat: the proxy was running at this time. `wall_us`: the wall clock's time, which may have stepped."""
 
     at_us: int
     wall_us: int
@@ -122,19 +122,19 @@
 
 
 class Sent(msgspec.Struct, array_like=True):
-    """The 200 of these calls has gone out."""
+    """The 200 of these calls has been sent."""
 
     calls: list[str]
 
 
 _encoder = msgspec.msgpack.Encoder()
 encode = _encoder.encode
-_decoders = {kind: msgspec.msgpack.Decoder(kind) for kind in (Record, Opening, Seal, Tomb, Mark, Sent, Word)}
+_decoders = {kind: msgspec.msgpack.Decoder(kind) for kind in (Record, Opening, Seal, Tombstone, Mark, Sent, Resolution)}
 
 
 def decode(kind, body):
-    """Raises ValueError where the body is none of this kind."""
+    """Raises ValueError if the body is not a valid message of this kind."""
     try:
         return _decoders[kind].decode(body)
-    except msgspec.MsgspecError as fault:
-        raise ValueError(f"not a {kind.__name__.lower()}: {fault}") from None
+    except msgspec.MsgspecError as error:
+        raise ValueError(f"not a {kind.__name__.lower()}: {error}") from None
--- a/thorndale/records/recover.py
+++ b/thorndale/records/recover.py
@@ -1,9 +1,10 @@
-"""What a start finds in a folder of records and does about it, as a plan: pure, and the same again after a kill.
+"""Recovery of a records folder at start, computed as a plan: pure, and idempotent across kills.
 
-Only what no seal covers is touched. A torn tail is set aside and cut; what cannot be read in the middle is left and
-listed in the seal; calls begun and never ended are settled by frames added to the segment in which they stood; then
-it is sealed. Killed at any step, the plan made anew leads to the same bytes: a cut tail stays cut, a call settled is
-over when it is met again, settling does not move the last time known, a sealed segment is left as it is.
+Only unsealed data is changed. A torn tail is saved under another name and cut off; unreadable bytes in the middle are
+left in place and listed in the seal; calls that began and never ended are settled by frames added to the segment in
+which they are open, which is then sealed. If the process is killed at any step, a new plan leads to the same bytes: a
+cut tail stays cut, a settled call is closed when it is read again, settling does not advance the last known time, and a
+sealed segment is not modified.
 """
 
 from collections import deque
@@ -12,14 +13,14 @@
 from thorndale.records import chain as c
 from thorndale.records import frame as f
 from thorndale.records import segment as s
-from thorndale.records.fold import OVER, Fold
-from thorndale.records.record import DOUBT, Opening, Record, Tomb, decode, encode
+from thorndale.records.frame_replay import CLOSING_KINDS, Replay
+from thorndale.records.record import DOUBT, Opening, Record, Tombstone, decode, encode
 
 
 class Step(NamedTuple):
-    """sync: what a killed process had written may not be on the disk yet, and all that follows builds on it.
-    aside: keep `data` under `name`. cut: make the file `size` long. add: `data` at its end. create: the whole file
-    under a name of its own, then renamed. remove: a file of which nothing can be read (it was kept aside)."""
+    """sync: flush what a killed process wrote, since all later steps build on it. aside: save `data` under `name`.
+    cut: truncate the file to `size`. add: append `data`. create: write the whole file under a temporary name, then
+    rename it. remove: delete a file of which nothing can be read (its bytes were saved aside)."""
 
     what: str
     name: str
@@ -28,8 +29,8 @@
 
 
 class Plan(NamedTuple):
-    """`settled` are the Records that the steps close; `findings` what an operator should know; `number`, `before` and
-    `next_seq` are where the journal goes on; `chain` and `proxy` are '' for a new folder."""
+    """`settled`: the Records that the steps close. `findings`: defects to report to the operator. `number`, `before`
+    and `next_seq`: where the journal continues. `chain` and `proxy` are '' for a new folder."""
 
     steps: list
     settled: list
@@ -40,31 +41,32 @@
     chain: str
     proxy: str
     cut_bytes: int
-    unsure: list  # Records whose answer may not have reached the caller: settled in doubt, or written just before
+    unconfirmed: list  # Records whose answer may not have reached the caller: in doubt, or just before the stop
 
 
-UNSURE_US = 2_000_000  # us before a boot's last known time from which a refusal counts as perhaps unsent. Answers wait
-# for their record and not longer than its `wait_ms`; a caller that had the answer does not begin anew
+# Refusals recorded within this time before a boot's last known time count as possibly unsent: an answer waits for its
+# record, for `wait_ms` at most, and a caller that received the answer does not repeat its INVITE.
+UNCONFIRMED_US = 2_000_000
 
 
-def head_of(data):
-    """(Opening, whether the carried calls behind it are whole) of a segment's first bytes, or (None, False)."""
-    found = f.scan(data)
-    first = next(found, None)
+def read_head(data):
+    """(Opening, whether the carry frame after it is intact) from a segment's first bytes, or (None, False)."""
+    frames = f.scan(data)
+    first = next(frames, None)
     if not isinstance(first, f.Frame) or first.kind != f.OPENING:
         return None, False
     try:
         opening = decode(Opening, first.body)
     except ValueError:
         return None, False
-    second = next(found, None)
+    second = next(frames, None)
     return opening, isinstance(second, f.Frame) and second.kind == f.CARRY
 
 
-def needed(numbers, head, sealed):
-    """The segments that recovery must read, of all there are, ascending: those from the last one on at whose head
-    the carried calls are whole and before which all is sealed. `head(number)` gives `head_of`, `sealed(number)`
-    whether it ends with a seal."""
+def segments_needed(numbers, head, sealed):
+    """The numbers of the segments that recovery must read, ascending: from the last segment whose carry frame is
+    intact and whose predecessor is sealed. `head(number)` returns `read_head` of its bytes, `sealed(number)` whether it
+    ends with a seal."""
     first = len(numbers)
     while first > 0:
         first -= 1
@@ -75,78 +77,91 @@
 
 
 def plan(segments):
-    """The Plan for (name, bytes) pairs, ascending, beginning where `needed` says."""
-    steps, findings, fold, cut_bytes = [], [], Fold(), 0
+    """The Plan for (name, bytes) pairs, ascending, starting with the first one that `segments_needed` returns."""
+    steps, findings, replayed, cut_bytes = [], [], Replay(), 0
     kept, recent = [], deque()
     for name, data in segments:
         steps.append(Step("sync", name))
-        data, step, torn = _trimmed(name, data)
+        data, step, torn = _trim_torn_tail(name, data)
         steps += step
         findings += torn
         cut_bytes += sum(x.end - x.at for x in torn)
         if data:
             kept.append((name, data))
-    last, next_seq = None, 0
+    last_link, next_seq = None, 0
     for group in c.groups(c.links(kept)):
         for link in group[:-1]:
-            findings.append(s.Finding(link.name, -1, -1, "was given up after a failed sync; the next repeats its end"))
+            findings.append(
+                s.Finding(link.name, -1, -1, "was abandoned after a failed sync; the next segment repeats its end")
+            )
         for opening, item in c.frames(group):
-            line = fold.take(opening, item)
+            line = replayed.take(opening, item)
             if line is not None and item.kind == f.WHOLE:
                 recent.append((line.boot, line.record))
-                while recent[0][1].ended_us < line.record.ended_us - UNSURE_US or recent[0][0] != line.boot:
+                while recent[0][1].ended_us < line.record.ended_us - UNCONFIRMED_US or recent[0][0] != line.boot:
                     recent.popleft()
             if item.kind not in s.UNNUMBERED:
                 next_seq = max(next_seq, item.seq + 1)
-        last = group[-1]
-        fold.newer += sum(len(link.read.newer) for link in group)
+        last_link = group[-1]
+        replayed.newer += sum(len(link.read.newer) for link in group)
         for link in group:
             findings += [x for x in link.read.findings if link.read.seal is not None or x.at >= 0]
             for item in link.read.newer:
                 next_seq = max(next_seq, item.seq + 1)
             if link.read.opening is not None:
                 next_seq = max(next_seq, link.read.opening.first_seq)
-    if last is None:
+    if last_link is None:
         return Plan(steps, [], findings, 1, "", 0, "", "", cut_bytes, [])
-    opening, number = last.read.opening, s.number_of(last.name)
-    settled = [record for _, record in fold.settled()]
-    last_us = fold.last_us.get(fold.boot, 0)
-    unsure = [r for r in settled if r.answered == DOUBT]
-    unsure += [r for boot, r in recent if boot == fold.boot and r.ended_us >= last_us - UNSURE_US]
+    opening, number = last_link.read.opening, s.number_of(last_link.name)
+    settled = [record for _, record in replayed.settled()]
+    last_known_us = replayed.last_known_us.get(replayed.boot, 0)
+    unconfirmed = [r for r in settled if r.answered == DOUBT]
+    unconfirmed += [r for boot, r in recent if boot == replayed.boot and r.ended_us >= last_known_us - UNCONFIRMED_US]
     frames = [f.pack(f.SETTLED, next_seq + n, encode(record)) for n, record in enumerate(settled)]
     next_seq += len(frames)
-    before = last.read.seal.digest if last.read.seal is not None else ""
-    if last.read.seal is None:
-        data = dict(kept)[last.name]
-        body = _body_of(data, last.read)
-        _add(body, frames, settled)
-        seal = s.seal_bytes(body, 0, [(d.at, d.end) for d in last.read.damages])
-        steps.append(Step("add", last.name, b"".join(frames) + seal, len(data)))
-        before = body.sha.hexdigest()
+    last_digest = last_link.read.seal.digest if last_link.read.seal is not None else ""
+    if last_link.read.seal is None:
+        data = dict(kept)[last_link.name]
+        state = _segment_state(data, last_link.read)
+        _append_settled(state, frames, settled)
+        seal = s.seal_bytes(state, 0, [(d.at, d.end) for d in last_link.read.damages])
+        steps.append(Step("add", last_link.name, b"".join(frames) + seal, len(data)))
+        last_digest = state.sha.hexdigest()
     elif settled:
         number += 1
-        head = Opening(
+        next_opening = Opening(
             opening.proxy,
             opening.chain,
             number,
             opening.boot,
             next_seq - len(frames),
-            before,
+            last_digest,
             opening.anchor_us,
             max(r.ended_us for r in settled),
         )
-        data = s.opening_bytes(head, 0) + f.pack(f.CARRY, 0, b"")
-        body = _body_of(data, s.parse(s.name_of(number), data))
-        _add(body, frames, settled)
-        steps.append(Step("create", s.name_of(number), data + b"".join(frames) + s.seal_bytes(body, 0)))
-        before = body.sha.hexdigest()
-    return Plan(steps, settled, findings, number + 1, before, next_seq, opening.chain, opening.proxy, cut_bytes, unsure)
+        data = s.opening_bytes(next_opening, 0) + f.pack(f.CARRY, 0, b"")
+        state = _segment_state(data, s.parse(s.name_of(number), data))
+        _append_settled(state, frames, settled)
+        steps.append(Step("create", s.name_of(number), data + b"".join(frames) + s.seal_bytes(state, 0)))
+        last_digest = state.sha.hexdigest()
+    return Plan(
+        steps,
+        settled,
+        findings,
+        number + 1,
+        last_digest,
+        next_seq,
+        opening.chain,
+        opening.proxy,
+        cut_bytes,
+        unconfirmed,
+    )
 
 
-def _trimmed(name, data):
-    """(what stays of it, steps, findings): a torn tail goes, and with it a file of which nothing else is there."""
+def _trim_torn_tail(name, data):
+    """(remaining bytes, steps, findings). A torn tail is cut; a file without a readable opening is removed."""
     size = len(data)
-    opening, _ = head_of(data)
+    opening, _ = read_head(data)
     end = size
     if opening is None:
         end = 0
@@ -159,63 +174,63 @@
     steps = []
     if size > end:
         steps.append(Step("aside", f"{name}.torn-{end}", bytes(data[end:])))
-    finding = s.Finding(name, end, size, f"torn tail of {size - end} bytes, cut and kept aside")
+    finding = s.Finding(name, end, size, f"torn tail of {size - end} bytes, cut and saved in a file of its own")
     steps.append(Step("cut", name, size=end) if end else Step("remove", name))
     return data[:end], steps, [finding]
 
 
-def _body_of(data, read):
-    """The Body that a writer would have by now, for the seal."""
-    body = s.Body()
-    body.sha.update(data)
-    body.size = len(data)
-    body.frames = len(read.frames) + len(read.newer) + (read.opening is not None)
+def _segment_state(data, read):
+    """The SegmentState that a writer of these bytes would have built, from which the seal is made."""
+    state = s.SegmentState()
+    state.sha.update(data)
+    state.size = len(data)
+    state.frames = len(read.frames) + len(read.newer) + (read.opening is not None)
     for item in read.frames:
-        if item.kind in OVER or item.kind in (f.BEGUN, f.INTENT):
-            _count(body, item.at, item.body)
+        if item.kind in CLOSING_KINDS or item.kind in (f.BEGUN, f.INTENT):
+            _index_record(state, item.at, item.body)
         if item.kind not in s.UNNUMBERED:
-            body.last_seq = max(body.last_seq, item.seq)
-    return body
+            state.last_seq = max(state.last_seq, item.seq)
+    return state
 
 
-def _count(body, at, data):
+def _index_record(state, offset, data):
     try:
         record = decode(Record, data)
     except ValueError:
         return
-    body.index.append(s.call_hash(record.call))
-    body.index.append(at)
-    body.records += 1
+    state.index.append(s.call_hash(record.call))
+    state.index.append(offset)
+    state.records += 1
     if record.ended_us:
-        body.wall(record.wall_us(record.ended_us))
+        state.extend_wall_range(record.wall_us(record.ended_us))
 
 
-def _add(body, frames, settled):
+def _append_settled(state, frames, settled):
     for data, record in zip(frames, settled, strict=True):
-        body.index.append(s.call_hash(record.call))
-        body.index.append(body.size)
-        body.records += 1
-        body.wall(record.wall_us(record.ended_us))
-        body.sha.update(data)
-        body.size += len(data)
-        body.frames += 1
-        body.last_seq = f.read(data, 0).seq
-
-
-def tomb_of(number, data, following, now_wall_us, keep_us):
-    """The Tomb for a segment whose last record is older than `keep_us`, or None where it has to stay. `following` are
-    the bytes of the next one: one without a seal goes only if that one says that it was given up. A clock that stands
-    before the records erases nothing."""
-    opening, _ = head_of(data)
-    seal, after = s.seal_of(data), head_of(following)[0]
-    if opening is None or after is None or seal is None and number not in after.abandoned:
+        state.index.append(s.call_hash(record.call))
+        state.index.append(state.size)
+        state.records += 1
+        state.extend_wall_range(record.wall_us(record.ended_us))
+        state.sha.update(data)
+        state.size += len(data)
+        state.frames += 1
+        state.last_seq = f.read(data, 0).seq
+
+
+def tombstone_of(number, data, following, now_wall_us, keep_us):
+    """The Tombstone for a segment whose last record is older than `keep_us`, or None if the segment must stay.
+    `following` holds the bytes of the next segment: an unsealed segment is erased only if the next one lists it as
+    abandoned. If the wall clock is earlier than the records, nothing is erased."""
+    opening, _ = read_head(data)
+    seal, next_opening = s.seal_of(data), read_head(following)[0]
+    if opening is None or next_opening is None or seal is None and number not in next_opening.abandoned:
         return None
     last_wall = seal.last_wall_us if seal is not None else 0
-    if now_wall_us - (last_wall or after.opened_us + after.anchor_us) <= keep_us:
+    if now_wall_us - (last_wall or next_opening.opened_us + next_opening.anchor_us) <= keep_us:
         return None
     if seal is None:
-        return Tomb(opening.proxy, opening.chain, number, "", len(data), 0, -1, 0, now_wall_us)
-    return Tomb(
+        return Tombstone(opening.proxy, opening.chain, number, "", len(data), 0, -1, 0, now_wall_us)
+    return Tombstone(
         opening.proxy,
         opening.chain,
         number,
--- a/thorndale/records/send.py
+++ b/thorndale/records/send.py
@@ -1,5 +1,5 @@
-"""Batches over HTTP to a collector: one POST each under its Idempotency-Key (draft-ietf-httpapi-idempotency-key-
-header), its bytes covered by a Content-Digest (RFC 9530); the manifest last, so that the far side can count."""
+"""Delivers batches over HTTP to a collector: one POST each with an Idempotency-Key (draft-ietf-httpapi-idempotency-
+key-header) and a Content-Digest (RFC 9530). The manifest is sent last, so that the collector can check completeness."""
 
 import base64
 import json
@@ -20,59 +20,76 @@
 
 
 def key_of(manifest, batch):
-    """The same for the same batch of the same export, however often it is sent."""
+    """The Idempotency-Key: the same each time the same batch of the same export is sent."""
     return f"{manifest['id']}-{batch['file'].partition('.')[0]}-{batch['sha256'][:16]}"
 
 
 def deliver(
-    folder, manifest, state, url, timeout_s=10.0, limit_s=600.0, told=lambda counts: None, chance=random.random
+    folder,
+    manifest,
+    state,
+    url,
+    timeout_s=10.0,
+    limit_s=600.0,
+    on_progress=lambda counts: None,
+    random_draw=random.random,
 ):
-    """Sends what `state` does not know as stored, then the manifest. Gives ('done', 'stuck' or 'no progress', counts,
-    reasons)."""
+    """Sends the batches that `state` does not list as stored, then the manifest. Returns ('done', 'stuck' or 'no
+    progress', counts, {batch: HTTP status that refused it})."""
     batches = manifest["batches"]
-    last = len(batches)  # the manifest's own number
-    delivery = Delivery(last, state.done, chance, int(limit_s * 1e6), _now())
+    manifest_number = len(batches)  # the manifest is sent as one more batch
+    delivery = Delivery(manifest_number, state.done, random_draw, int(limit_s * 1e6), _now())
     pool = urllib3.PoolManager(maxsize=WINDOW, retries=False, timeout=urllib3.Timeout(timeout_s))
     with ThreadPoolExecutor(WINDOW) as threads:
-        how = _run(
-            delivery, threads, lambda n: _post(pool, url, folder, batches[n], key_of(manifest, batches[n])), state, told
+        outcome_text = _run(
+            delivery,
+            threads,
+            lambda n: _post(pool, url, folder, batches[n], key_of(manifest, batches[n])),
+            state,
+            on_progress,
         )
-        if how == "done" and last not in state.done:
-            whole = Delivery(last + 1, set(range(last)), chance, int(limit_s * 1e6), _now())
-            end = {"file": "manifest.json", "sha256": manifest["id"]}
-            how = _run(
-                whole, threads, lambda n: _post(pool, url, folder, end, f"{manifest['id']}-manifest"), state, told
+        if outcome_text == "done" and manifest_number not in state.done:
+            manifest_delivery = Delivery(
+                manifest_number + 1, set(range(manifest_number)), random_draw, int(limit_s * 1e6), _now()
             )
-            delivery.count += whole.count
-            delivery.why.update(whole.why)
+            manifest_batch = {"file": "manifest.json", "sha256": manifest["id"]}
+            outcome_text = _run(
+                manifest_delivery,
+                threads,
+                lambda n: _post(pool, url, folder, manifest_batch, f"{manifest['id']}-manifest"),
+                state,
+                on_progress,
+            )
+            delivery.count += manifest_delivery.count
+            delivery.refusals.update(manifest_delivery.refusals)
     pool.clear()
-    return how, delivery.count, delivery.why
+    return outcome_text, delivery.count, delivery.refusals
 
 
-def _run(delivery, threads, post, state, told):
-    out = {}
-    while not delivery.over(_now()):
-        for n in delivery.want(_now()):
-            out[threads.submit(post, n)] = n
-        at = delivery.next_at()
-        pause = 0.5 if at is None else min(0.5, max(0.001, (at - _now()) / 1e6))
-        done, _ = wait(out, timeout=pause, return_when=FIRST_COMPLETED) if out else (set(), None)
-        if not out:
-            time.sleep(pause)
+def _run(delivery, threads, post, state, on_progress):
+    in_flight = {}
+    while not delivery.outcome(_now()):
+        for n in delivery.next_batches(_now()):
+            in_flight[threads.submit(post, n)] = n
+        next_at_us = delivery.next_at()
+        pause_s = 0.5 if next_at_us is None else min(0.5, max(0.001, (next_at_us - _now()) / 1e6))
+        done, _ = wait(in_flight, timeout=pause_s, return_when=FIRST_COMPLETED) if in_flight else (set(), None)
+        if not in_flight:
+            time.sleep(pause_s)
         for future in done:
-            n = out.pop(future)
-            if delivery.answered(_now(), n, *future.result()) == DONE:
+            n = in_flight.pop(future)
+            if delivery.take_answer(_now(), n, *future.result()) == DONE:
                 state.stored(n)
-            told(delivery.count)
-    wait(out)
-    for future, n in out.items():  # what was still out when it ended: an answer that came counts
-        if delivery.answered(_now(), n, *future.result()) == DONE:
+            on_progress(delivery.count)
+    wait(in_flight)
+    for future, n in in_flight.items():  # requests in flight when the run ended: their answers count
+        if delivery.take_answer(_now(), n, *future.result()) == DONE:
             state.stored(n)
-    return delivery.over(_now())
+    return delivery.outcome(_now())
 
 
 def _post(pool, url, folder, batch, key):
-    """(status, Retry-After in us); status 0 where no answer came."""
+    """Returns (status, Retry-After in us); status 0 if no answer arrived."""
     with open(os.path.join(folder, batch["file"]), "rb") as file:
         body = file.read()
     headers = {"Content-Type": TYPES[batch["file"].rpartition(".")[2]], "Idempotency-Key": json.dumps(key)}
@@ -83,5 +100,7 @@
         answer = pool.request("POST", url, body=body, headers=headers)
     except urllib3.exceptions.HTTPError:
         return 0, 0
-    after = answer.headers.get("Retry-After", "")
-    return answer.status, int(after) * 1_000_000 if after.isascii() and after.isdigit() and len(after) < 7 else 0
+    retry_after = answer.headers.get("Retry-After", "")
+    return answer.status, int(retry_after) * 1_000_000 if retry_after.isascii() and retry_after.isdigit() and len(
+        retry_after
+    ) < 7 else 0
--- a/thorndale/records/settle.py
+++ b/thorndale/records/settle.py
@@ -1,16 +1,16 @@
-"""What becomes clear of calls later: those in doubt, those that two proxies met, redials after a stop. Pure.
+"""Settles calls after the fact: calls in doubt, calls seen by two proxies, redials after a stop. Pure.
 
-A call is in doubt when its proxy stopped between writing that it stands and sending its 200, or before it wrote that
-the 200 had gone. Three things settle it: what its caller said to the restarted proxy (the proxy writes that down by
-itself), the same INVITE met by another proxy later, and the other side's own list of calls that were answered.
+A call is in doubt if its proxy stopped between recording the answer and sending the 200, or before it recorded that
+the 200 was sent. Three sources settle it: the caller's later messages to the restarted proxy (recorded by the proxy
+itself), the same INVITE received by another proxy, and the other side's list of answered calls.
 """
 
 from typing import NamedTuple
 
-from thorndale.records.fold import STOPPED
-from thorndale.records.record import DOUBT, YES, Word
+from thorndale.records.frame_replay import STOPPED
+from thorndale.records.record import DOUBT, YES, Resolution
 
-REDIAL_US = 120_000_000  # us after a stop in which the same caller's call to the same number counts as a redial
+REDIAL_WINDOW_US = 120_000_000  # longest time from a stop to a redial of the same caller to the same number
 
 
 class Doubt(NamedTuple):
@@ -24,8 +24,9 @@
     stood_wall_us: int
 
 
-class Meeting(NamedTuple):
-    """`what`: 'met twice', one INVITE at two proxies; 'redial', a new call for one that a stop had cut."""
+class RelatedCalls(NamedTuple):
+    """Two records that belong together. `what`: 'met twice', one INVITE at two proxies; 'redial', a new call in place
+    of one that a stop cut."""
 
     what: str
     first: tuple  # (proxy, call)
@@ -34,7 +35,7 @@
 
 
 class Stops:
-    """First pass over all lines: what was cut by a stop. Its size is that of what was cut, not of the records."""
+    """First pass over all lines: the calls cut by a stop. Memory grows with these, not with all records."""
 
     def __init__(self):
         self.doubts, self.legs, self.pairs = [], {}, {}
@@ -61,51 +62,51 @@
                 self.pairs.setdefault((record.caller, record.number), []).append(line)
 
     def meetings(self, lines):
-        """Second pass: the Meetings of other records with what was cut."""
+        """Second pass: yields RelatedCalls for each other record that belongs to a call cut by a stop."""
         for line in lines:
             record = line.record
-            for other in self.legs.get((record.caller_leg, record.caller_tag), ()):
-                if other.chain != line.chain:
-                    yield _meeting("met twice", other, line)
-            came = record.wall_us(record.came_us)
-            for other in self.pairs.get((record.caller, record.number), ()):
-                cut = other.record
+            for cut_line in self.legs.get((record.caller_leg, record.caller_tag), ()):
+                if cut_line.chain != line.chain:
+                    yield _related_calls("met twice", cut_line, line)
+            came_wall_us = record.wall_us(record.came_us)
+            for cut_line in self.pairs.get((record.caller, record.number), ()):
+                cut_record = cut_line.record
                 if (
-                    cut.call != record.call
-                    and cut.caller_leg != record.caller_leg
-                    and came - cut.wall_us(cut.came_us) >= 0
-                    and came - cut.wall_us(cut.ended_us) <= REDIAL_US
+                    cut_record.call != record.call
+                    and cut_record.caller_leg != record.caller_leg
+                    and came_wall_us - cut_record.wall_us(cut_record.came_us) >= 0
+                    and came_wall_us - cut_record.wall_us(cut_record.ended_us) <= REDIAL_WINDOW_US
                 ):
-                    yield _meeting("redial", other, line)
+                    yield _related_calls("redial", cut_line, line)
 
 
-def _meeting(what, other, line):
-    return Meeting(
+def _related_calls(what, first_line, second_line):
+    return RelatedCalls(
         what,
-        (other.proxy, other.record.call),
-        (line.proxy, line.record.call),
-        (other.record.answered, line.record.answered),
+        (first_line.proxy, first_line.record.call),
+        (second_line.proxy, second_line.record.call),
+        (first_line.record.answered, second_line.record.answered),
     )
 
 
 def words(doubts, meetings, answered, unanswered, wall_us):
-    """(Words by (chain, call), names that are in no doubt). `answered` and `unanswered` are sets of Call-IDs, or of
-    calls, as the other side tells them; a list goes before what another proxy met."""
-    found, known = {}, set()
-    second = {m.first: m for m in meetings if m.what == "met twice" and m.answered[1] == YES}
+    """Returns (Resolutions by (chain, call), listed names not in doubt). `answered` and `unanswered` are sets of
+    Call-IDs or call names from the other side's lists; a list takes precedence over another proxy's record."""
+    settled, names_in_doubt = {}, set()
+    second_meetings = {m.first: m for m in meetings if m.what == "met twice" and m.answered[1] == YES}
     for doubt in doubts:
         names = {doubt.call, doubt.caller_leg}
-        known |= names
+        names_in_doubt |= names
         yes, no = names & answered, names & unanswered
         if yes and no:
-            raise ValueError(f"call {doubt.call} stands in both lists")
+            raise ValueError(f"call {doubt.call} is in both lists")
         if yes or no:
-            found[(doubt.chain, doubt.call)] = Word(
+            settled[(doubt.chain, doubt.call)] = Resolution(
                 doubt.call, "yes" if yes else "no", "by the other side's list", wall_us
             )
-        elif (doubt.proxy, doubt.call) in second:
-            other = second[(doubt.proxy, doubt.call)].second
-            found[(doubt.chain, doubt.call)] = Word(
+        elif (doubt.proxy, doubt.call) in second_meetings:
+            other = second_meetings[(doubt.proxy, doubt.call)].second
+            settled[(doubt.chain, doubt.call)] = Resolution(
                 doubt.call, "withdrawn", f"its caller went on to {other[0]}, call {other[1]}", wall_us
             )
-    return found, sorted((answered | unanswered) - known)
+    return settled, sorted((answered | unanswered) - names_in_doubt)
--- a/thorndale/records/store.py
+++ b/thorndale/records/store.py
@@ -1,7 +1,7 @@
-"""The records of a running proxy: recovery before it starts, then the journal on the loop and its hand on the disk.
+"""Call records of a running proxy: recovery at start, then the journal on the event loop and an I/O worker process.
 
-The loop is never held up: operations go to the hand's process and their results come back by a socket. It writes in
-one thread and syncs in another, so that a write needs not wait for a sync under way.
+The event loop never blocks on the disk: operations are sent to the worker process and results return over a socket.
+The worker writes in one thread and syncs in another, so that a write does not wait for a sync in progress.
 """
 
 import asyncio
@@ -11,30 +11,30 @@
 
 from thorndale.records import folder as fo
 from thorndale.records.files import Files, LockedError
-from thorndale.records.hand import Hand
+from thorndale.records.io_worker import IoWorker
 from thorndale.records.journal import Journal, Limits
 from thorndale.records.ledger import Ledger
 
 DAY_US = 86_400_000_000
-ERASE_S = 3600.0  # s between two looks for what is past its age: ages are told in days
-LOCK_S = 3.0  # s that a start waits for the hand of a proxy that was killed just before
-READY_S = 5.0  # s that a start waits for its first segment; past it the proxy serves by its policy for trouble
-AGAIN_S = 0.2  # s before another hand is begun: one that is killed at once again must not take the loop's time
-GONE = "the process that writes has ended"
-CLOSE_S = 10.0  # s that a stop waits for the disk at most
+ERASE_INTERVAL_S = 3600.0  # between two erasures of expired segments; the retention time is set in days
+LOCK_WAIT_S = 3.0  # time for the worker of a proxy killed just before to finish and free the folder
+READY_WAIT_S = 5.0  # time for the first segment to open; then the proxy starts and applies `on_trouble`
+WORKER_RESTART_S = 0.2  # before a new worker is started: repeated early deaths must not use up the loop's time
+WORKER_ENDED = "the I/O worker process has ended"
+CLOSE_WAIT_S = 10.0  # longest wait for the disk at a stop
 
 
 class StoreError(Exception):
-    """The records can't be opened; says what to do."""
+    """The records cannot be opened; the text tells the operator what to do."""
 
 
-def open_store(settings, proxy, loop, say, now, wall_offset_us, files=None):
-    """Recovers the folder and gives a Store. `settings` is the Records of the settings. Raises StoreError."""
+def open_store(settings, proxy, loop, log, now, wall_offset_us, files=None):
+    """Recovers the folder and returns a Store. `settings`: the Records section of the settings. Raises StoreError."""
     try:
         if files is None:
             os.makedirs(settings.folder, mode=0o700, exist_ok=True)
             files = Files(settings.folder)
-        files.lock(LOCK_S)
+        files.lock(LOCK_WAIT_S)
         plan = fo.recovery(files)
         if plan.proxy and plan.proxy != proxy:
             files.close()
@@ -44,23 +44,23 @@
             )
         fo.apply(files, plan.steps)
         for finding in plan.findings:
-            say(
+            log(
                 "error", "records: found at start", file=finding.name, at=finding.at, end=finding.end, what=finding.what
             )
         if plan.settled:
-            say(
+            log(
                 "warning",
                 "records: calls settled",
                 calls=len(plan.settled),
                 in_doubt=sum(r.answered == "doubt" for r in plan.settled),
             )
-    except LockedError as fault:
-        raise StoreError(f"records.folder: {fault}") from None
-    except OSError as fault:
+    except LockedError as error:
+        raise StoreError(f"records.folder: {error}") from None
+    except OSError as error:
         files and files.close()
         raise StoreError(
-            f"records.folder: {settings.folder}: {fault.strerror or fault}; make room or name another "
-            "folder, nothing there was lost"
+            f"records.folder: {settings.folder}: {error.strerror or error}; free disk space or configure "
+            "another folder; no records were lost"
         ) from None
     limits = Limits(
         settings.queue,
@@ -80,107 +80,107 @@
         plan.before,
         plan.next_seq,
     )
-    return Store(files, journal, settings, loop, say, plan.unsure, now)
+    return Store(files, journal, settings, loop, log, plan.unconfirmed, now)
 
 
 class Store:
-    def __init__(self, files, journal, settings, loop, say, unsure, now):
-        self.files, self.journal, self.loop, self.say = files, journal, loop, say
-        self.out = {}  # serial number of work that is with the hand: (what it is, its arguments)
-        self.hand = Hand(loop, files, self._done, self._lost)
+    def __init__(self, files, journal, settings, loop, log, unconfirmed, now):
+        self.files, self.journal, self.loop, self.log = files, journal, loop, log
+        self.in_flight = {}  # serial number of a job sent to the worker: (kind, subject)
+        self.worker = IoWorker(loop, files, self._done, self._worker_lost)
         self.ledger = Ledger(
-            journal, settings.answer, settings.wait_ms * 1000, self.begin, self.write_word, say, unsure, now
+            journal, settings.answer, settings.wait_ms * 1000, self.begin, self.write_resolution, log, unconfirmed, now
         )
-        self.clock, self.after, self.ending, self.erasing, self.again = None, None, False, None, None
+        self.clock, self.on_results, self.closing, self.erase_timer, self.restart_timer = None, None, False, None, None
 
-    def attach(self, clock, after):
-        """`clock()` gives the loop's time in us; `after()` is called when results may have let something out: it
+    def attach(self, clock, on_results):
+        """`clock()` returns the loop's time in us. `on_results()` is called when results may have released answers; it
         flushes the border, and with it the ledger."""
-        self.clock, self.after = clock, after
+        self.clock, self.on_results = clock, on_results
 
     async def ready(self):
-        """Until the first segment is open, so that no early answer goes ahead of its record; a disk that does not
-        answer holds a start up for READY_S only."""
-        end = time.monotonic() + READY_S
-        while self.journal.body is None and time.monotonic() < end:
+        """Waits until the first segment is open, so that early answers do not precede their records. If the disk does
+        not respond, waits READY_WAIT_S at most."""
+        deadline = time.monotonic() + READY_WAIT_S
+        while self.journal.segment is None and time.monotonic() < deadline:
             self.ledger.flush(self.clock())
             await asyncio.sleep(0.005)
 
     def begin(self, op):
         self._submit("op", op._replace(entries=()), op)
 
-    def write_word(self, seq, word):
-        self._submit("word", word, fo.WORDS, seq, word)
+    def write_resolution(self, seq, resolution):
+        self._submit("word", resolution, fo.PROXY_RESOLUTIONS, seq, resolution)
 
     def start_retention(self, keep_days, wall_us):
-        """Erases now and each hour what is past its age: a segment is read whole for it."""
+        """Erases expired segments now and every hour; each candidate segment is read whole."""
         if keep_days:
             self._submit("erase", None, wall_us(), keep_days * DAY_US)
-            self.erasing = self.loop.call_later(ERASE_S, self.start_retention, keep_days, wall_us)
+            self.erase_timer = self.loop.call_later(ERASE_INTERVAL_S, self.start_retention, keep_days, wall_us)
 
-    def _submit(self, what, *about):
-        if what == "op":
-            sent, subject = (about[0],), about[1]
+    def _submit(self, kind, *args):
+        if kind == "op":
+            job_args, subject = (args[0],), args[1]
         else:
-            subject, *sent = about
-        if self.hand is None:  # it has ended and the next one is not there yet
-            self.loop.call_soon(self._result, what, subject, GONE, None)
+            subject, *job_args = args
+        if self.worker is None:  # the worker has ended and the next one has not been started
+            self.loop.call_soon(self._result, kind, subject, WORKER_ENDED, None)
             return
-        self.out[self.hand.submit(what, *sent)] = (what, subject)
-
-    def _done(self, serial, fault, result):
-        what, subject = self.out.pop(serial)
-        self._result(what, subject, fault, result)
-
-    def _result(self, what, subject, fault, result):
-        if what == "op":
-            self.ledger.done(self.clock(), subject, fault)
-            self.after()
-        elif what == "word" and fault:
-            self.say("error", "word on a call not written", call=subject.call, word=subject.word, reason=fault)
-        elif what == "erase":
+        self.in_flight[self.worker.submit(kind, *job_args)] = (kind, subject)
+
+    def _done(self, serial, error, result):
+        kind, subject = self.in_flight.pop(serial)
+        self._result(kind, subject, error, result)
+
+    def _result(self, kind, subject, error, result):
+        if kind == "op":
+            self.ledger.done(self.clock(), subject, error)
+            self.on_results()
+        elif kind == "word" and error:
+            self.log("error", "word on a call not written", call=subject.call, word=subject.word, reason=error)
+        elif kind == "erase":
             for number, records in result or ():
-                self.say("info", "records erased", segment=number, records=records)
-            if fault:
-                self.say("error", "records not erased", reason=fault)
-
-    def _lost(self):
-        """The hand's process has ended, killed by somebody: what was with it counts as failed, and another begins."""
-        self.hand.wait(0)
-        self.hand, out, self.out = None, self.out, {}
-        if self.ending:
+                self.log("info", "records erased", segment=number, records=records)
+            if error:
+                self.log("error", "records not erased", reason=error)
+
+    def _worker_lost(self):
+        """The worker process has ended unexpectedly: its jobs fail, and a new worker is started."""
+        self.worker.wait(0)
+        self.worker, in_flight, self.in_flight = None, self.in_flight, {}
+        if self.closing:
             return
-        self.say("error", "the process that writes records ended, another is begun")
-        for what, subject in out.values():
-            self._result(what, subject, GONE, None)
-        self.again = self.loop.call_later(AGAIN_S, self._another)
+        self.log("error", "the process that writes records ended, another is begun")
+        for kind, subject in in_flight.values():
+            self._result(kind, subject, WORKER_ENDED, None)
+        self.restart_timer = self.loop.call_later(WORKER_RESTART_S, self._start_worker)
 
-    def _another(self):
-        self.hand = Hand(self.loop, self.files, self._done, self._lost)
-        self.after()
+    def _start_worker(self):
+        self.worker = IoWorker(self.loop, self.files, self._done, self._worker_lost)
+        self.on_results()
 
     async def close(self):
-        """Writes what waits, seals, and lets go of the folder; a disk that does not answer holds a stop up only for
-        a while, and what was not written is said."""
-        if self.erasing is not None:
-            self.erasing.cancel()
+        """Writes the queue, seals the segment and unlocks the folder. If the disk does not respond within CLOSE_WAIT_S,
+        the number of unwritten frames is logged."""
+        if self.erase_timer is not None:
+            self.erase_timer.cancel()
         self.journal.close()
-        end = time.monotonic() + CLOSE_S
-        while not self.journal.closed and time.monotonic() < end:
+        deadline = time.monotonic() + CLOSE_WAIT_S
+        while not self.journal.closed and time.monotonic() < deadline:
             self.ledger.flush(self.clock())
             await asyncio.sleep(0.002)
         if not self.journal.closed:
-            self.say(
+            self.log(
                 "error",
                 "records not written at the end",
                 frames=len(self.journal.queue),
-                reason=self.journal.trouble or "the disk does not answer",
+                reason=self.journal.disk_error or "the disk does not answer",
             )
-        self.ending = True
-        if self.again is not None:
-            self.again.cancel()
-        if self.hand is not None:
-            self.hand.close()
-            while self.hand.process.poll() is None and time.monotonic() < end:
+        self.closing = True
+        if self.restart_timer is not None:
+            self.restart_timer.cancel()
+        if self.worker is not None:
+            self.worker.close()
+            while self.worker.process.poll() is None and time.monotonic() < deadline:
                 await asyncio.sleep(0.002)
         self.files.close()
