--- a/bench/kills.py
+++ b/bench/kills.py
@@ -107,26 +107,26 @@
 def compare(sockets, folders, work):
     """What differs between sockets and records, as a map of counts, with examples."""
     sources = [source(name, Files(name)) for name in folders]
-    count, found, rows = Counter(), st.Stops(), {}
-    faults = [str(x) for s in sources for x in verify(fo.segments(s.files), fo.tombs(s.files)).findings]
+    count, found, rows = Counter(), st.StoppedCalls(), {}
+    faults = [str(x) for s in sources for x in verify(fo.segments(s.files), fo.tombstones(s.files)).findings]
     for src in sources:
         for line in lines(src.files, count):
-            found.see(line)
+            found.add_line(line)
             rows.setdefault(line.record.caller_leg, []).append(line)
     doubts = len(found.doubts)
     # The other side's list: here the callers themselves.
     answered = {d.caller_leg for d in found.doubts if sockets.calls[d.caller_leg][1] == 200}
-    words, _ = st.words(
+    resolutions, _ = st.resolutions(
         found.doubts, (), answered, {d.caller_leg for d in found.doubts} - answered, time.time_ns() // 1000
     )
-    for (chain, _), word in words.items():
+    for (chain, _), word in resolutions.items():
         files = next(s for s in sources if s.chain == chain).files
-        fo.add_word(files, "words-settle.rec", len(fo.words(files)) + 1, word)
+        fo.add_resolution(files, "words-settle.rec", len(fo.resolutions(files)) + 1, word)
     final = {leg: call for leg, call in sockets.calls.items() if call[1]}
     stood = {leg: call for leg, call in final.items() if call[1] == 200}
     twice = [leg for leg, of in rows.items() if len(of) > 1]
     apart = [
-        abs(of[0].record.stood_for() - (stood[leg][3] - stood[leg][2]))
+        abs(of[0].record.answered_duration_us() - (stood[leg][3] - stood[leg][2]))
         for leg, of in rows.items()
         if leg in stood and stood[leg][3] and of[0].record.how == "released" and of[0].record.by == "caller"
     ]
--- a/bench/records.py
+++ b/bench/records.py
@@ -18,8 +18,8 @@
 from thorndale.records import folder as fo
 from thorndale.records.files import Files
 from thorndale.records.journal import Journal, Limits
-from thorndale.records.ledger import WAYS, Ledger
-from thorndale.records.record import Record, Try
+from thorndale.records.ledger import ANSWER_ORDERS, Ledger
+from thorndale.records.record import Record, SeizureRecord
 
 RATES = (300, 500, 700, 900, 1000, 1100)
 WINDOW = 24  # calls out at once where the top rate is sought: enough to keep the proxy busy, few to repeat nothing
@@ -30,7 +30,7 @@
     with tempfile.TemporaryDirectory(prefix="thorndale-records-", dir=options.disk or None) as folder:
         for rate in options.rates:
             for turn in range(options.turns):
-                order = ["", *WAYS] if turn % 2 == 0 else [*reversed(WAYS), ""]
+                order = ["", *ANSWER_ORDERS] if turn % 2 == 0 else [*reversed(ANSWER_ORDERS), ""]
                 for way in order:
                     row = one("proxy udp", rate, options.seconds, folder, taken, way)
                     row["records"] = way or "none"
@@ -43,7 +43,7 @@
         "| way | calls/s | " + " | ".join(f"at {r}/s: p50, p99 ms; CPU us a call" for r in options.rates) + " |",
         "| --- | ---: |" + " ---: |" * len(options.rates),
     ]
-    for way in ("none", *WAYS):
+    for way in ("none", *ANSWER_ORDERS):
         cells, top = [], 0
         for rate in options.rates:
             of = [r for r in rows if r["records"] == way and r["rate"] == rate]
@@ -65,13 +65,13 @@
     with tempfile.TemporaryDirectory(prefix="thorndale-records-", dir=options.disk or None) as folder:
         for turn in range(options.turns):
             row = {}
-            for way in ["", *WAYS] if turn % 2 == 0 else [*reversed(WAYS), ""]:
+            for way in ["", *ANSWER_ORDERS] if turn % 2 == 0 else [*reversed(ANSWER_ORDERS), ""]:
                 found = one("proxy udp", 10_000, options.seconds / 10, folder, taken, way, WINDOW)
                 row[way or "none"] = {k: found[k] for k in ("reached", "cpu_us_call", "stood", "calls", "us")}
             turns.append(row)
             print(json.dumps({way: [x["reached"], x["cpu_us_call"]] for way, x in row.items()}), flush=True)
     middle = {}
-    for way in ("none", *WAYS):
+    for way in ("none", *ANSWER_ORDERS):
         parts = sorted(t[way]["reached"] / t["none"]["reached"] for t in turns)
         cpu = sorted(t[way]["cpu_us_call"] / t["none"]["cpu_us_call"] for t in turns)
         middle[way] = {
@@ -138,7 +138,7 @@
             "d" * 16,
             "1",
             "",
-            [Try("box1", "completed", now, 15_000)],
+            [SeizureRecord("box1", "completed", now, 15_000)],
         )
         if n % 5 == 0:
             record.status, record.how, record.by, record.ended_us = 503, "rejected", "proxy", now
--- a/tests/records/proxy.py
+++ b/tests/records/proxy.py
@@ -39,7 +39,7 @@
         )
 
     def write_resolution(self, seq, resolution):
-        fo.add_word(self.disk, fo.PROXY_RESOLUTIONS, seq, resolution)
+        fo.add_resolution(self.disk, fo.PROXY_RESOLUTIONS, seq, resolution)
 
     def record(self, call, **more):
         return Record(call, f"{call}@x", "t", came_us=self.now, anchor_us=5_000_000, call_type="timetable", **more)
--- a/tests/records/test_chain.py
+++ b/tests/records/test_chain.py
@@ -10,7 +10,7 @@
 from thorndale.records import segment as s
 from thorndale.records.read import distinct, find, lines, source
 from thorndale.records.record import Record, decode, encode
-from thorndale.records.settle import Stops, words
+from thorndale.records.settle import StoppedCalls, resolutions
 
 
 @pytest.fixture
@@ -150,14 +150,14 @@
     second.work()
     second.close()
     Recorder(one.after_kill(), "b3").close()
-    stops = Stops()
+    stops = StoppedCalls()
     rows = [line for d in (one, two) for line in all_lines(d)]
     for line in rows:
-        stops.see(line)
-    meetings = list(stops.meetings(rows))
-    assert [(m.what, m.first[0], m.second[0]) for m in meetings] == [("met twice", "p1", "p2")]
+        stops.add_line(line)
+    related_calls = list(stops.related_calls(rows))
+    assert [(m.what, m.first[0], m.second[0]) for m in related_calls] == [("met twice", "p1", "p2")]
     if stops.doubts:
-        found, odd = words(stops.doubts, meetings, set(), {"nobody@x"}, 1)
+        found, odd = resolutions(stops.doubts, related_calls, set(), {"nobody@x"}, 1)
         assert [w.word for w in found.values()] == ["withdrawn"] and odd == ["nobody@x"]
         with pytest.raises(ValueError, match="both lists"):
-            words(stops.doubts, meetings, {"x@x"}, {"x"}, 1)
+            resolutions(stops.doubts, related_calls, {"x@x"}, {"x"}, 1)
--- a/tests/records/test_export.py
+++ b/tests/records/test_export.py
@@ -14,7 +14,7 @@
 from thorndale.records.delivery import DONE, STUCK, WAITING, WINDOW, Delivery
 from thorndale.records.editions import editions
 from thorndale.records.files import Files
-from thorndale.records.hide import hider
+from thorndale.records.number_hash import number_hasher
 from thorndale.standins.collector import FAULTS, Collector
 
 TARIFFS = """{currency: "XOF", from_date: "1970-01-01", until_date: "2099-01-01", call_types: ["timetable"],
@@ -156,10 +156,10 @@
 
 
 def test_two_exports_at_once(folder, tmp_path):
-    from thorndale.records.export import State
+    from thorndale.records.export import DeliveryState
 
     os.makedirs(tmp_path / "out")
-    state = State(str(tmp_path / "out"))
+    state = DeliveryState(str(tmp_path / "out"))
     found = run("export", folder, "--to", tmp_path / "out", "--until", "2000-01-01")
     assert found.exit_code == 1 and "another export of this folder runs" in found.output
     state.close()
@@ -205,9 +205,9 @@
 
 
 def test_numbers_kept_hashed():
-    hide = hider(b"0123456789abcdef")
+    hide = number_hasher(b"0123456789abcdef")
     assert hide("+221771234567") == hide("+221771234567") != hide("+221771234568")
     assert "1234567" not in hide("+221771234567") and hide("") == ""
-    assert hide("+1") != hider(b"0123456789abcdeg")("+1")
+    assert hide("+1") != number_hasher(b"0123456789abcdeg")("+1")
     with pytest.raises(ValueError, match="needs 16"):
-        hider(b"short")
+        number_hasher(b"short")
--- a/tests/records/test_io_worker.py
+++ b/tests/records/test_io_worker.py
@@ -180,7 +180,7 @@
     for row in rows:
         row.record.anchor_us = 7_200_000_000 if row.record.call.startswith("b1") else 3_600_000_000
     assert [r.record.call for r in ordered([iter(rows)])] == ["b10", "b11", "b12", "b20", "b21", "b22"]
-    assert all(r.record.stood_for() >= 0 for r in rows)
+    assert all(r.record.answered_duration_us() >= 0 for r in rows)
 
 
 def test_an_export_killed_at_any_moment_continues_where_it_stopped(tmp_path):
--- a/tests/records/test_store.py
+++ b/tests/records/test_store.py
@@ -14,7 +14,7 @@
 
 
 def verify(disk):
-    return verify_chain(fo.segments(disk), fo.tombs(disk))
+    return verify_chain(fo.segments(disk), fo.tombstones(disk))
 
 
 def small_run(disk, boot="b1", answer_order="written", created=None):
@@ -236,7 +236,7 @@
     again.ledger.repeated(again.now, "two@x", "t", 2, 1)  # a new attempt of a caller that received its answer
     assert not again.ledger.resolutions
     again.ledger.repeated(again.now, "two@x", "t", 0, 1)
-    again.ledger.spoke(again.now, "one", 1)
+    again.ledger.requested_in_dialog(again.now, "one", 1)
     assert [(line.record.call, line.record.answered) for line in all_lines(disk)] == [("one", "yes")]
 
 
--- a/thorndale/call/border.py
+++ b/thorndale/call/border.py
@@ -21,7 +21,7 @@
 from thorndale.call.sort import CallClassifier, mask_number, mask_numbers
 from thorndale.call.tally import Tally
 from thorndale.module_host import ModuleHost
-from thorndale.records.ledger import Unkept
+from thorndale.records.ledger import NullLedger
 from thorndale.sip import message as m
 from thorndale.sip.dialog import hop_of, via_text
 from thorndale.sip.errors import SipError
@@ -78,7 +78,7 @@
         self.now, self.token_state = 0, seed & MASK_64
         self.timers = Timers()
         times = Times(sip.t1_ms * 1000, sip.t2_ms * 1000, sip.t4_ms * 1000, max(sip.t1_ms * 64, 1) * 1000)
-        self.ledger, self.mask_caller, self.record_timer = ledger or Unkept(), mask_caller, None
+        self.ledger, self.mask_caller, self.record_timer = ledger or NullLedger(), mask_caller, None
         self.layer = Layer(self.timers, times, settings.limits.transactions, self, self._transmit)
         self.module_host = ModuleHost(build_module(seed, settings))
         self.classifier, self.wall_offset_us = CallClassifier(settings, rules), wall_offset_us
@@ -271,7 +271,7 @@
         wait = int(self.settings.comeback.most_ms * 1000 * (1 + (request_hash >> 32) / (1 << 32)) / 2)
         extra = retry_after_fields(wait) if self.settings.comeback.told else []
         data = m.response_to(message, 503, f"{request_hash:016x}", extra=extra).encode()
-        if why == "refused again" or message.method != "INVITE" or not self.ledger.kept:
+        if why == "refused again" or message.method != "INVITE" or not self.ledger.keeps_records:
             self._transmit(hop, data)
             return
         record = refused_invite_record(self, now, message, 503, why)
@@ -406,7 +406,7 @@
         if tag:
             owner = self.owners.get(tag[:16])
             if owner is None:
-                self.ledger.spoke(now, tag[:16], now + self.wall_offset_us)
+                self.ledger.requested_in_dialog(now, tag[:16], now + self.wall_offset_us)
                 tx.respond(now, 481)
             else:
                 owner.request(now, tag, tx, message)
@@ -457,7 +457,7 @@
             self.log("warning", "unknown trunk group in a call", call=token, group=classified.unknown_group[:60])
         tx.respond(now, 100)
         self.owners[token] = call
-        if self.ledger.notes_coming:
+        if self.ledger.records_arrivals:
             self.ledger.came(now, call_record(call, now))
         time_left_us = self.guard_us[classified.call_type]
         expires = invite.get("expires")
@@ -478,7 +478,7 @@
 
     def _refuse_invite(self, now, tx, status, how, extra=()):
         """Sends the final answer to an INVITE that did not become a call, after its record is written."""
-        if not self.ledger.kept:
+        if not self.ledger.keeps_records:
             tx.respond(now, status, self.token(), extra=extra)
             return
         record = refused_invite_record(self, now, tx.message, status, how)
--- a/thorndale/call/call.py
+++ b/thorndale/call/call.py
@@ -389,7 +389,7 @@
         self.border.forget(self)
 
     def _record(self, *end):
-        return call_record(self, *end) if self.border.ledger.kept else None
+        return call_record(self, *end) if self.border.ledger.keeps_records else None
 
     def describe(self):
         """Fields for a log line."""
--- a/thorndale/cli/records.py
+++ b/thorndale/cli/records.py
@@ -84,7 +84,7 @@
     for name in folders:
         src = _sources([name])[0]
         try:
-            check = look(fo.segments(src.files), fo.tombs(src.files))
+            check = look(fo.segments(src.files), fo.tombstones(src.files))
         except OSError as fault:
             typer.echo(f"{name}: {fault}", err=True)
             raise typer.Exit(1) from None
@@ -125,12 +125,12 @@
     sources, count = _sources(folders), Counter()
     begin, end = _when(after, -1 << 62), _when(before, 1 << 62)
     if stops:
-        found = st.Stops()
+        found = st.StoppedCalls()
         for src in sources:
             for line in _lines(src, count):
-                found.see(line)
+                found.add_line(line)
         for src in sources:
-            for meeting in found.meetings(_lines(src, Counter())):
+            for meeting in found.related_calls(_lines(src, Counter())):
                 typer.echo(
                     f"{meeting.what}: {' '.join(meeting.first)} ({meeting.answered[0]}) then "
                     f"{' '.join(meeting.second)} ({meeting.answered[1]})"
@@ -174,7 +174,7 @@
                     record.call_type,
                     record.client,
                     record.server,
-                    f"{record.stood_for() / 1e6:.1f}",
+                    f"{record.answered_duration_us() / 1e6:.1f}",
                     record.how,
                     record.by,
                     record.answered,
@@ -263,7 +263,7 @@
         raise typer.Exit(2)
     try:
         os.makedirs(to, exist_ok=True)
-        state = ex.State(to)
+        state = ex.DeliveryState(to)
     except LockedError:
         typer.echo(f"{to}: another export of this folder runs; wait for it or stop it", err=True)
         raise typer.Exit(1) from None
@@ -303,26 +303,30 @@
     write: bool = typer.Option(False, help="Write down what is found; else it is only told."),
 ):
     """Settles calls in doubt: by another proxy's records, or by the other side's lists."""
-    sources, count, found = _sources(folders), Counter(), st.Stops()
+    sources, count, found = _sources(folders), Counter(), st.StoppedCalls()
     for src in sources:
         for line in _lines(src, count):
-            found.see(line)
-    meetings = [m for src in sources for m in found.meetings(_lines(src, Counter()))]
+            found.add_line(line)
+    related_calls = [m for src in sources for m in found.related_calls(_lines(src, Counter()))]
     try:
-        words, odd = st.words(found.doubts, meetings, _names(answered), _names(unanswered), time.time_ns() // 1000)
+        resolutions, odd = st.resolutions(
+            found.doubts, related_calls, _names(answered), _names(unanswered), time.time_ns() // 1000
+        )
     except ValueError as fault:
         typer.echo(f"{fault}; nothing was settled", err=True)
         raise typer.Exit(2) from None
     by_chain = {src.chain: src for src in sources}
-    for (chain, call), word in sorted(words.items()):
+    for (chain, call), word in sorted(resolutions.items()):
         if write:
-            fo.add_word(by_chain[chain].files, "words-settle.rec", len(fo.words(by_chain[chain].files)) + 1, word)
+            fo.add_resolution(
+                by_chain[chain].files, "words-settle.rec", len(fo.resolutions(by_chain[chain].files)) + 1, word
+            )
         typer.echo(f"{call}: {word.word}, {word.why}")
     if odd:
         typer.echo(f"{len(odd)} listed calls are in no doubt here: {', '.join(odd[:5])}", err=True)
-    left = len(found.doubts) - len(words)
+    left = len(found.doubts) - len(resolutions)
     typer.echo(
-        f"{len(found.doubts)} in doubt, {len(words)} "
+        f"{len(found.doubts)} in doubt, {len(resolutions)} "
         + ("settled" if write else "can be settled (--write)")
         + f", {left} left"
     )
--- a/thorndale/daemon/run.py
+++ b/thorndale/daemon/run.py
@@ -153,14 +153,14 @@
     StartError."""
     if settings.records is None:
         return None, str
-    from thorndale.records.hide import hider  # loaded only where records are kept
+    from thorndale.records.number_hash import number_hasher  # loaded only where records are kept
     from thorndale.records.store import StoreError, open_store
 
     mask_number = str
     try:
         if settings.records.hash_key_file:
             with open(settings.records.hash_key_file, "rb") as file:
-                mask_number = hider(file.read().strip())
+                mask_number = number_hasher(file.read().strip())
         return open_store(settings.records, settings.name, loop, log_event, now_us(), offset), mask_number
     except (OSError, ValueError) as error:
         raise StartError(f"records.hash_key_file: {settings.records.hash_key_file}: {error}") from None
--- a/thorndale/records/chain.py
+++ b/thorndale/records/chain.py
@@ -141,11 +141,11 @@
             self.open_tail, self.tail_size = name, read.size
 
 
-def verify(segments, tombs=()):
+def verify(segments, tombstones=()):
     """The ChainCheck of (name, bytes) pairs and the Tombstones of erased segments, in order."""
     check = ChainCheck()
     pending = {}
-    for tombstone in tombs:
+    for tombstone in tombstones:
         pending[tombstone.number] = tombstone
     for link in links(segments):
         number = s.number_of(link.name)
--- a/thorndale/records/editions.py
+++ b/thorndale/records/editions.py
@@ -130,7 +130,7 @@
         began,
         stood,
         ended,
-        f"{record.stood_for() / 1e6:.6f}",
+        f"{record.answered_duration_us() / 1e6:.6f}",
         record.how,
         record.by,
         record.status,
--- a/thorndale/records/export.py
+++ b/thorndale/records/export.py
@@ -77,7 +77,7 @@
         r.wall_us(r.came_us),
         r.wall_us(r.stood_us) if r.stood_us else None,
         r.wall_us(r.ended_us),
-        r.stood_for(),
+        r.answered_duration_us(),
         r.call_type,
         r.client,
         r.trunk_group,
@@ -128,7 +128,7 @@
         rows_pending.append(row_of(line))
         totals["records"] += 1
         totals["answered"] += line.record.answered == "yes"
-        totals["stood_us"] += line.record.stood_for()
+        totals["stood_us"] += line.record.answered_duration_us()
         if len(rows_pending) == size:
             batches.append(_write(folder, len(batches), rows_pending, kind))
             rows_pending = []
@@ -186,7 +186,7 @@
     return row
 
 
-class State:
+class DeliveryState:
     """The batches that the collector has stored, persisted so that a later run continues after an interruption. Raises
     LockedError if another export of this folder is running."""
 
--- a/thorndale/records/folder.py
+++ b/thorndale/records/folder.py
@@ -53,7 +53,7 @@
 
     present = numbers(files)
     plan = r.plan(segments(files, r.segments_needed(present, head, sealed)))
-    tombstone = next(reversed(list(tombs(files))), None)
+    tombstone = next(reversed(list(tombstones(files))), None)
     if not present and tombstone is not None:  # all segments were erased: the chain continues after the last tombstone
         plan = plan._replace(
             number=tombstone.number + 1,
@@ -96,7 +96,7 @@
     files.sync_folder()
 
 
-def add_word(files, name, seq, resolution):
+def add_resolution(files, name, seq, resolution):
     """Appends a Resolution to a file of them. Raises OSError."""
     _append_frame(files, name, seq, f.RESOLUTION, encode(resolution))
 
@@ -117,7 +117,7 @@
     files.sync_folder()
 
 
-def words(files):
+def resolutions(files):
     """{call: Resolution}, the latest one of each call."""
     found = {}
     for name in files.names():
@@ -129,7 +129,7 @@
     return found
 
 
-def tombs(files):
+def tombstones(files):
     """Yields the Tombstones in the order in which they were written."""
     if TOMBSTONES in files.names():
         for item in f.scan(files.read(TOMBSTONES)):
@@ -144,7 +144,7 @@
     continues.
     """
     present, written = numbers(files), []
-    already_erased = {tombstone.number for tombstone in tombs(files)}
+    already_erased = {tombstone.number for tombstone in tombstones(files)}
     for number, next_number in zip(present[:-KEEP_LAST], present[1:], strict=False):
         data = files.read(s.name_of(number))
         tombstone = r.tombstone_of(number, data, files.read(s.name_of(next_number)), now_wall_us, keep_us)
--- a/thorndale/records/io_worker.py
+++ b/thorndale/records/io_worker.py
@@ -131,7 +131,7 @@
             if kind == "op":
                 fo.perform(files, args[0])
             elif kind == "word":
-                fo.add_word(files, *args)
+                fo.add_resolution(files, *args)
             elif kind == "erase":
                 result = [(t.number, t.records) for t in fo.erase(files, *args)]
         except OSError as exc:
--- a/thorndale/records/ledger.py
+++ b/thorndale/records/ledger.py
@@ -19,14 +19,14 @@
 from thorndale.records import frame as f
 from thorndale.records.record import DOUBT, Mark, Resolution, encode
 
-WAYS = ("written", "synced", "intent", "after")
+ANSWER_ORDERS = ("written", "synced", "intent", "after")
 RESOLUTION_WINDOW_US = 64_000_000  # after a start, messages about calls of the previous boot count for this long
 
 
-class Unkept:
+class NullLedger:
     """Stands in for a Ledger if no records are kept: answers are sent at once."""
 
-    kept, notes_coming = False, False
+    keeps_records, records_arrivals = False, False
 
     def came(self, now, record):
         pass
@@ -48,7 +48,7 @@
 
     cancelled = repeated
 
-    def spoke(self, now, call, wall_us):
+    def requested_in_dialog(self, now, call, wall_us):
         pass
 
     def mark(self, now, wall_us):
@@ -68,11 +68,11 @@
     """`start_operation(op)` starts an operation of the journal and `write_resolution(seq, resolution)` stores a
     Resolution; neither may block. `log(level, event, **fields)` writes a log entry."""
 
-    kept = True
+    keeps_records = True
 
     def __init__(self, journal, answer_order, wait_us, start_operation, write_resolution, log, unconfirmed=(), now=0):
         self.journal, self.answer_order, self.wait_us = journal, answer_order, wait_us
-        self.notes_coming = answer_order == "intent"  # whether `came` needs to be called
+        self.records_arrivals = answer_order == "intent"  # whether `came` needs to be called
         self.start_operation, self.write_resolution, self.log = start_operation, write_resolution, log
         # Entries of `waiting`: (seq, waiter_id, send_answer); of `deadlines`: (deadline, waiter_id).
         self.waiting, self.deadlines, self.waiter_id = [], deque(), 0
@@ -87,7 +87,7 @@
 
     def came(self, now, record):
         """A call was accepted; `record` is still incomplete."""
-        if self.notes_coming:
+        if self.records_arrivals:
             self.intents[record.call] = self.journal.put(now, f.INTENT, encode(record), record.call)
 
     def refused(self, now, record, send_answer, under_way=True):
@@ -139,7 +139,7 @@
         if call in self.unconfirmed and self.unconfirmed[call].answered == DOUBT:
             self._resolve(call, "no", "its caller cancelled it after the stop", wall_us)
 
-    def spoke(self, now, call, wall_us):
+    def requested_in_dialog(self, now, call, wall_us):
         """A request arrived in a dialog of an earlier boot: its caller received the 200."""
         record = self.unconfirmed.get(call)
         if record is not None and record.answered == DOUBT:
--- a/thorndale/records/hide.py
+++ b/thorndale/records/number_hash.py
@@ -8,7 +8,7 @@
 MIN_KEY_BYTES = 16  # a shorter key can be guessed, and with it every number
 
 
-def hider(key):
+def number_hasher(key):
     """Returns a function that hashes a number's text. Raises ValueError if the key is too short."""
     if len(key) < MIN_KEY_BYTES:
         raise ValueError(f"the key has {len(key)} bytes, needs {MIN_KEY_BYTES}; make one with 'openssl rand -hex 32'")
--- a/thorndale/records/rate.py
+++ b/thorndale/records/rate.py
@@ -54,7 +54,7 @@
         if key is None:
             return Charge(None, 0, 0, (), "no tariff fits")
         interval_start_us = record.wall_us(record.stood_us)
-        end_us = interval_start_us + record.stood_for()
+        end_us = interval_start_us + record.answered_duration_us()
         rate_and_change = tariffs.at(key, interval_start_us)
         if rate_and_change is None:
             return Charge(None, 0, 0, (), "outside the tariffs' dates")
--- a/thorndale/records/read.py
+++ b/thorndale/records/read.py
@@ -26,7 +26,7 @@
     """Yields a Line for each finished record that was not withdrawn. `count` counts what was skipped."""
     count = Counter() if count is None else count
     replayed = replayed or Replay()
-    words = fo.words(files)
+    resolutions = fo.resolutions(files)
     for group in c.groups(c.links(fo.segments(files))):
         for link in group:
             count["damaged"] += len(link.read.damages)
@@ -37,7 +37,7 @@
             line = replayed.take(opening, item)
             if line is None:
                 continue
-            resolution = words.get(line.record.call)
+            resolution = resolutions.get(line.record.call)
             if resolution is not None and resolution.word == "withdrawn":
                 count["withdrawn"] += 1
                 continue
@@ -52,7 +52,7 @@
 
 def find(files, call):
     """Yields the Line of one call, looked up in the segments' indices; a segment without a seal is scanned whole."""
-    words = fo.words(files)
+    resolutions = fo.resolutions(files)
     for name, data in fo.segments(files):
         seal, (opening, _) = s.seal_of(data), read_head(data)
         if opening is None:
@@ -66,7 +66,7 @@
                 continue
             record = decode(Record, item.body)
             if record.call == call:
-                resolution = words.get(call)
+                resolution = resolutions.get(call)
                 if resolution is not None and record.answered == DOUBT:
                     record.answered = YES if resolution.word == "yes" else NO
                 yield Line(opening.proxy, opening.chain, opening.boot, item.seq, item.kind == f.SETTLED, record)
--- a/thorndale/records/record.py
+++ b/thorndale/records/record.py
@@ -12,7 +12,7 @@
 YES, NO, DOUBT = "yes", "no", "doubt"  # whether the caller was answered with a 200; doubt: the proxy stopped meanwhile
 
 
-class Try(msgspec.Struct, array_like=True, frozen=True):
+class SeizureRecord(msgspec.Struct, array_like=True, frozen=True):
     """One seizure: the server, its outcome, when it was sent and how long it took (us)."""
 
     server: str
@@ -43,7 +43,7 @@
     rules: str = ""  # the rule set: its name and a digest of its text
     revenue_class: str = ""
     priority_class: str = ""
-    tries: list[Try] = []
+    tries: list[SeizureRecord] = []
     answered: str = NO
     status: int = 0
     how: str = ""
@@ -53,7 +53,7 @@
     def wall_us(self, at):
         return at + self.anchor_us
 
-    def stood_for(self):
+    def answered_duration_us(self):
         """us from the answer to the end of the call; never negative, even if a faulty clock wrote the times."""
         return max(0, self.ended_us - self.stood_us) if self.stood_us else 0
 
--- a/thorndale/records/settle.py
+++ b/thorndale/records/settle.py
@@ -34,13 +34,13 @@
     answered: tuple
 
 
-class Stops:
+class StoppedCalls:
     """First pass over all lines: the calls cut by a stop. Memory grows with these, not with all records."""
 
     def __init__(self):
         self.doubts, self.legs, self.pairs = [], {}, {}
 
-    def see(self, line):
+    def add_line(self, line):
         record = line.record
         if record.answered == DOUBT:
             self.doubts.append(
@@ -61,7 +61,7 @@
             if record.caller and record.number:
                 self.pairs.setdefault((record.caller, record.number), []).append(line)
 
-    def meetings(self, lines):
+    def related_calls(self, lines):
         """Second pass: yields RelatedCalls for each other record that belongs to a call cut by a stop."""
         for line in lines:
             record = line.record
@@ -89,11 +89,11 @@
     )
 
 
-def words(doubts, meetings, answered, unanswered, wall_us):
+def resolutions(doubts, related_calls, answered, unanswered, wall_us):
     """Returns (Resolutions by (chain, call), listed names not in doubt). `answered` and `unanswered` are sets of
     Call-IDs or call names from the other side's lists; a list takes precedence over another proxy's record."""
     settled, names_in_doubt = {}, set()
-    second_meetings = {m.first: m for m in meetings if m.what == "met twice" and m.answered[1] == YES}
+    second_meetings = {m.first: m for m in related_calls if m.what == "met twice" and m.answered[1] == YES}
     for doubt in doubts:
         names = {doubt.call, doubt.caller_leg}
         names_in_doubt |= names
