--- a/tests/match/test_deep.py
+++ b/tests/match/test_deep.py
@@ -1,4 +1,4 @@
-"""The analysis by solver: what can never match, what overlaps, what nobody takes."""
+"""The solver-based analysis: rules that can never match, rules that overlap, calls that match no rule."""
 
 import pytest
 
@@ -43,18 +43,18 @@
         ),
     ],
 )
-def test_what_is_found(source, expected):
+def test_findings(source, expected):
     assert expected in findings(source)
 
 
-def test_calls_that_nobody_takes_have_an_example():
-    made = load('rule "a" { when prefix(number, "+2") type t }')
-    found = Analysis(made).none()
+def test_unmatched_calls_have_an_example():
+    rule_set = load('rule "a" { when prefix(number, "+2") type t }')
+    found = Analysis(rule_set).unmatched_calls()
     assert found[0].kind == "none" and not found[0].example["number"].startswith("+2")
-    assert Analysis(load('rule "a" { when yes type t }')).none() == []
+    assert Analysis(load('rule "a" { when yes type t }')).unmatched_calls() == []
 
 
-def test_sound_sets_have_nothing_to_say():
+def test_valid_rule_sets_have_no_findings():
     assert (
         findings(
             'rule "a" { when prefix(number, "+1") type t } rule "b" { when prefix(number, "+2") type t } '
@@ -65,6 +65,6 @@
     assert not [f for f in findings(open("examples/proxy.rules", encoding="utf-8").read()) if f[0] == "never"]
 
 
-def test_what_is_not_told_in_time_is_called_unknown():
+def test_undecided_questions_are_reported_as_unknown():
     found = findings('rule "a" { when prefix(number, "+1") type t } rule "b" { when yes type t }', seconds=0)
     assert found and {f[0] for f in found} == {"unknown"}
--- a/tests/match/test_expressions.py
+++ b/tests/match/test_expressions.py
@@ -1,4 +1,5 @@
-"""The language: what each bad expression is told, what each good one gives, and that no evaluation passes its bound."""
+"""The expression language: the error message of each bad expression, the value of each good one, and that no evaluation
+exceeds its proven bound."""
 
 import statistics
 
@@ -12,8 +13,8 @@
 from thorndale.match.facts import Facts
 from thorndale.match.faults import MatchError
 from thorndale.match.functions import FUNCTIONS
-from thorndale.match.parse import expression
-from thorndale.match.walk import Walker
+from thorndale.match.parse import parse_expression
+from thorndale.match.walk import Interpreter
 from thorndale.sip import message as m
 
 RIG = Rig()
@@ -21,34 +22,36 @@
 
 
 def scope():
-    made = Scope()
-    made.sets["vip"], made.sets["marks"] = frozenset(["+221771234567", "b"]), frozenset([1.0, 2.0])
-    made.tables["stations"] = Table({"+22133": "thies", "+221": "dakar", "+221331": "thies-1"}, (7, 6, 4))
+    names = Scope()
+    names.sets["vip"], names.sets["marks"] = frozenset(["+221771234567", "b"]), frozenset([1.0, 2.0])
+    names.tables["stations"] = Table({"+22133": "thies", "+221": "dakar", "+221331": "thies-1"}, (7, 6, 4))
     for name, text in (("station", 'header("X-Station") ?? "none"'), ("line", "caller + number")):
-        made.lets[name] = expression(text)
-        assert Checker(made).check(made.lets[name])
-    return made
+        names.lets[name] = parse_expression(text)
+        assert Checker(names).check(names.lets[name])
+    return names
 
 
-def facts(extra="", number="+22133000111", wall_us=MOMENT, **over):
-    return Facts(m.parse(RIG.invite(number=number, extra=extra, **over).encode("utf-8", "surrogateescape")), wall_us)
+def facts(extra="", number="+22133000111", wall_us=MOMENT, **overrides):
+    return Facts(
+        m.parse(RIG.invite(number=number, extra=extra, **overrides).encode("utf-8", "surrogateescape")), wall_us
+    )
 
 
-def checked(text, steps_most=50_000):
-    names, tree = scope(), expression(text)
-    checker = Checker(names, steps_most)
+def checked(text, max_steps=50_000):
+    names, tree = scope(), parse_expression(text)
+    checker = Checker(names, max_steps)
     if not checker.check(tree):
-        raise MatchError(checker.faults, text)
+        raise MatchError(checker.diagnostics, text)
     return names, tree
 
 
-def both(text, given):
-    """The value by the plain interpreter and by the compiled form, which must agree."""
+def evaluate_both(text, call):
+    """The value by the interpreter and by the compiled function, which must agree."""
     names, tree = checked(text)
-    plain = Walker(names, given).value(tree)
-    given.slots = {}
-    assert Compiler(names, [tree]).function(tree)(given) == plain
-    return plain
+    expected = Interpreter(names, call).value(tree)
+    call.slots = {}
+    assert Compiler(names, [tree]).function(tree)(call) == expected
+    return expected
 
 
 GOOD = [
@@ -107,44 +110,44 @@
 @pytest.mark.parametrize("text, value", GOOD)
 def test_values(text, value):
     extra = "X-Station: Thies\r\nX-Many: one\r\nX-Many: two\r\nX-Many: three\r\nX-Uri: <sip:q@10.0.0.1>\r\n"
-    assert both(text, facts(extra)) == value
+    assert evaluate_both(text, facts(extra)) == value
 
 
 def test_every_function_has_an_example_that_holds():
     for name, function in FUNCTIONS.items():
-        assert name in function.example and function.says
-        both(function.example, facts())
-
-
-BAD = {  # expression: what its message says
-    "": "cut off",
-    "1 +": "cut off",
-    "(1": "cut off",
-    "1)": "no place",
-    "1 2": "no place",
-    "and": "no place",
-    "== 1": "no place",
-    "1 == == 2": "no place",
+        assert name in function.example and function.description
+        evaluate_both(function.example, facts())
+
+
+BAD = {  # expression: part of its error message
+    "": "truncated",
+    "1 +": "truncated",
+    "(1": "truncated",
+    "1)": "unexpected",
+    "1 2": "unexpected",
+    "and": "unexpected",
+    "== 1": "unexpected",
+    "1 == == 2": "unexpected",
     '"open': "closing quote",
-    "'x'": "no place",
-    "a b": "no place",
-    "number.": "cut off",
-    "f(": "cut off",
-    "[1,": "cut off",
-    "if yes then 1": "cut off",
-    "if yes 1": "no place",
-    "?? 1": "no place",
-    "number ??": "cut off",
-    "1 < 2 < 3": "no place",
-    "5 in": "cut off",
+    "'x'": "unexpected",
+    "a b": "unexpected",
+    "number.": "truncated",
+    "f(": "truncated",
+    "[1,": "truncated",
+    "if yes then 1": "truncated",
+    "if yes 1": "unexpected",
+    "?? 1": "unexpected",
+    "number ??": "truncated",
+    "1 < 2 < 3": "unexpected",
+    "5 in": "truncated",
     "5 in 6": "should be text",
-    "not": "cut off",
-    "$x": "no place",
-    "1..2": "no place",
-    "5d": "no place",
-    "yes no": "no place",
-    "prefix number": "no place",
-    "then": "no place",
+    "not": "truncated",
+    "$x": "unexpected",
+    "1..2": "unexpected",
+    "5d": "unexpected",
+    "yes no": "unexpected",
+    "prefix number": "unexpected",
+    "then": "unexpected",
     "numbr": "'number' is meant",
     'calller == "x"': "'caller' is meant",
     "statoin": "'station' is meant",
@@ -168,7 +171,7 @@
     "1s == 1": "should be span",
     "1s + 1": "joins two",
     '"a" + 1': "joins two",
-    '"a" - "b"': "cannot be taken",
+    '"a" - "b"': "cannot be subtracted",
     "yes + no": "joins two",
     "uri == uri": "cannot be compared",
     'headers("A") == headers("A")': "cannot be compared",
@@ -176,14 +179,14 @@
     '"x" == header("A")': "may be absent",
     'header("A") + "x"': "joins two",
     'prefix(header("A"), "x")': "??",
-    'number ?? "x"': "always there",
-    'header("A") ?? 5': "must be alike",
-    "present(number)": "always there",
+    'number ?? "x"': "always present",
+    'header("A") ?? 5': "must have the same type",
+    "present(number)": "always present",
     "not number": "should be yes/no",
     "number and yes": "should be yes/no",
     "1 or yes": "should be yes/no",
     "if 1 then 2 else 3": "the condition",
-    'if yes then 1 else "a"': "must be alike",
+    'if yes then 1 else "a"': "must have the same type",
     "prefix(number)": "takes 2 values, has 1",
     'prefix(number, "a", "b")': "takes 2 values, has 3",
     "length()": "takes 1",
@@ -197,22 +200,22 @@
     "hash(number, 0)": "1 to",
     "hash(number, 2.5)": "whole number",
     "hash(number, 9999999)": "1 to",
-    "hash(number, length(number))": "written out",
-    "header(number)": "written out",
-    "headers(caller)": "written out",
-    'header("a b")': "no header name",
-    'header("")': "no header name",
-    'time("Dakar")': "no time zone",
-    'weekday("")': "no time zone",
-    "time(number)": "written out",
+    "hash(number, length(number))": "must be a literal",
+    "header(number)": "must be a literal",
+    "headers(caller)": "must be a literal",
+    'header("a b")': "is not a header name",
+    'header("")': "is not a header name",
+    'time("Dakar")': "is not a time zone",
+    'weekday("")': "is not a time zone",
+    "time(number)": "must be a literal",
     "time(5)": "should be text",
-    'weekday("../etc")': "no time zone",
-    'e164(number, "xx")': "no country code",
-    'e164(number, "0")': "no country code",
-    "e164(number, caller)": "written out",
-    "longest(number, vip)": "name of a table",
-    'longest(number, "a")': "name of a table",
-    "longest(number, nowhere)": "name of a table",
+    'weekday("../etc")': "is not a time zone",
+    'e164(number, "xx")': "is not a country code",
+    'e164(number, "0")': "is not a country code",
+    "e164(number, caller)": "must be a literal",
+    "longest(number, vip)": "must be the name of a table",
+    'longest(number, "a")': "must be the name of a table",
+    "longest(number, nowhere)": "must be the name of a table",
     "longest(5, stations)": "should be text",
     "number in nobody": "unknown set",
     "number in vp": "'vip' is meant",
@@ -224,23 +227,23 @@
     'number in [header("A")]': "a list's value",
     'header("A") in vip': "??",
     "number in (caller)": "unknown set",
-    "like(number, caller)": "written out",
+    "like(number, caller)": "must be a literal",
     'like(number, "(")': "has no ')'",
     'like(number, ")")': "has no '('",
     'like(number, "[a")': "has no ']'",
-    'like(number, "*a")': "nothing stands before",
-    'like(number, "a|*")': "nothing stands",
+    'like(number, "*a")': "nothing to repeat before",
+    'like(number, "a|*")': "nothing to repeat",
     'like(number, "a\\\\")': "after",
-    'like(number, "[z-a]")': "backwards",
+    'like(number, "[z-a]")': "reversed",
     'like(number, "(a|b)*a' + "(a|b)" * 12 + '")': "states",
     'like(number, "' + "a" * 400 + '")': "longer than 300",
     'like(number, "' + "(" * 31 + ")" * 31 + '")': "deeper than 30",
     'like(5, "a")': "should be text",
-    "contains(caller, number)": "written out",
+    "contains(caller, number)": "must be a literal",
     "to-number(5)": "should be text",
     "to-uri(uri)": "should be text",
     "to-uri(number).host": "may be absent",
-    "(uri ?? uri).host": "always there",
+    "(uri ?? uri).host": "always present",
     "(" * 70 + "1" + ")" * 70: "deeper than 60",
     "[" * 70 + "]" * 70: "deeper than 60",
     "1 == yes": "should be number",
@@ -248,28 +251,28 @@
     "length(uri)": "should be text",
     'lower(headers("A"))': "should be text",
     "transport == udp": "unknown name",
-    'transport = "udp"': "no place",
-    'number =~ "a"': "no place",
-    "number && caller": "no place",
-    "!yes": "no place",
-    "a ? b : c": "no place",
-    "number; caller": "no place",
-    "number[0]": "no place",
-    '"a" "b"': "no place",
-    "{}": "no place",
-    "let x = 1": "no place",
-    "5 == 5.5.5": "no place",
-    "1 == 2 and": "cut off",
-    "number in vip in vip": "no place",
-    "not in vip": "no place",
-    'prefix(, "a")': "no place",
-    "f(1,)": "no place",
+    'transport = "udp"': "unexpected",
+    'number =~ "a"': "unexpected",
+    "number && caller": "unexpected",
+    "!yes": "unexpected",
+    "a ? b : c": "unexpected",
+    "number; caller": "unexpected",
+    "number[0]": "unexpected",
+    '"a" "b"': "unexpected",
+    "{}": "unexpected",
+    "let x = 1": "unexpected",
+    "5 == 5.5.5": "unexpected",
+    "1 == 2 and": "truncated",
+    "number in vip in vip": "unexpected",
+    "not in vip": "unexpected",
+    'prefix(, "a")': "unexpected",
+    "f(1,)": "unexpected",
     "number.user.host": "only a URI",
     'header("A").user': "only a URI",
     '(header("A") ?? "").user': "only a URI",
     'length(header("A"))': "??",
     'hash(header("A"), 4)': "??",
-    'lower(header("A") ?? 4)': "must be alike",
+    'lower(header("A") ?? 4)': "must have the same type",
     'at(headers("A"), 1) == "x"': "may be absent",
     "to-number(number) > 5": "may be absent",
     'longest(number, stations) == "a"': "may be absent",
@@ -283,13 +286,13 @@
     "length(number) == 1s": "should be number",
     'if header("A") == "x" then 1 else 2': "may be absent",
     'present(header("A")) == 1': "should be yes/no",
-    'count(headers("A") ?? [])': "always there",
-    "yes ?? no": "always there",
+    'count(headers("A") ?? [])': "always present",
+    "yes ?? no": "always present",
     '"a" in 5': "a list or a set",
     '"a" in uri': "unknown set",
-    "0x10": "no place",
-    "1e5": "no place",
-    "1,5 == 1": "no place",
+    "0x10": "unexpected",
+    "1e5": "unexpected",
+    "1,5 == 1": "unexpected",
     '"\\': "closing quote",
 }
 
@@ -302,31 +305,31 @@
     assert caught.value.faults[0].line == 1 and caught.value.faults[0].column >= 1
 
 
-def test_there_are_many_of_them():
+def test_list_of_bad_expressions_is_large():
     assert len(BAD) >= 150 and len(set(BAD)) == len(BAD)
 
 
-def test_a_fault_shows_its_line_and_a_caret():
+def test_an_error_shows_its_line_and_a_caret():
     with pytest.raises(MatchError) as caught:
         checked('prefix(number, "+221") and\n  caller == 5')
     assert str(caught.value).split("\n")[1:] == ["      caller == 5", "                ^"]
 
 
-def test_texts_that_grow_and_steps_that_add_up():
+def test_limits_on_text_size_and_steps():
     names = scope()
-    names.lets["d0"] = expression('header("X") ?? ""')
+    names.lets["d0"] = parse_expression('header("X") ?? ""')
     assert Checker(names).check(names.lets["d0"])
     for n in range(1, 4):
-        names.lets[f"d{n}"] = expression(f"d{n - 1} + d{n - 1}")
+        names.lets[f"d{n}"] = parse_expression(f"d{n - 1} + d{n - 1}")
         checker = Checker(names)
         if not checker.check(names.lets[f"d{n}"]):
             break
-    assert n == 3 and "grows to" in checker.faults[0].text
+    assert n == 3 and "grows to" in checker.diagnostics[0].text
     with pytest.raises(MatchError, match="steps"):
         checked(" and ".join(f'like(header("H{n}") ?? "", "a*b")' for n in range(3)))
 
 
-ODD = [
+ODD_HEADERS = [
     "X: " + "a" * 8000 + "\r\n",
     "X: one\r\nx: two\r\n",
     "X:\r\n folded\r\n",
@@ -338,9 +341,9 @@
 ]
 
 
-@pytest.mark.parametrize("extra", ODD)
+@pytest.mark.parametrize("extra", ODD_HEADERS)
 def test_odd_headers(extra):
-    given = facts(extra)
+    call = facts(extra)
     for text in (
         'header("X") ?? "none"',
         'length(header("X") ?? "")',
@@ -350,16 +353,16 @@
         'lower(header("X") ?? "")',
         'present(to-uri(header("X") ?? ""))',
     ):
-        both(text, given)
+        evaluate_both(text, call)
 
 
 def test_the_hour_that_a_clock_change_repeats():
     for wall, hour in ((1_792_886_400, 2.0), (1_792_890_000, 2.0), (1_792_893_600, 3.0)):  # 2026-10-25, Europe/Paris
-        seconds = both('time("Europe/Paris")', facts(wall_us=wall * 1_000_000))
+        seconds = evaluate_both('time("Europe/Paris")', facts(wall_us=wall * 1_000_000))
         assert seconds // 3600 == hour
 
 
-# ---- generated pairs ----
+# ---- generated expressions and messages ----
 
 TEXTS = st.sampled_from(
     [
@@ -422,10 +425,10 @@
 )
 VALUES = ["", "a", "+221", "+22133000111", "77", "é", "x" * 300, "<sip:a@1.2.3.4>", "12", "thies", '"q"']
 MESSAGES = [
-    (number, caller, [(name, value) for name, value in pairs])
+    (number, caller, [(name, value) for name, value in header_fields])
     for number in ("+22133000111", "33", "0771", "+3")
     for caller in ("+221771234567", "b", "221")
-    for pairs in [
+    for header_fields in [
         [],
         *[[("X", v)] for v in VALUES[:8]],
         *[[("X", v), ("X", w), ("N", w)] for v in VALUES[:4] for w in VALUES[5:9]],
@@ -436,29 +439,29 @@
 
 @settings(max_examples=700, derandomize=True, deadline=None, database=None, suppress_health_check=list(HealthCheck))
 @given(EXPRESSIONS)
-def agree(text):
-    """One expression on all messages, and the dearest message found against its bound."""
+def check_agreement_and_bound(text):
+    """Evaluates one expression on all calls both ways and compares the highest step count with its bound."""
     names, tree = checked(text, 10_000_000)
-    run, dearest = Compiler(names, [tree]).function(tree), 0
-    for call in FACTS:
+    run, max_steps_seen = Compiler(names, [tree]).function(tree), 0
+    for call in CALLS:
         call.slots = {}
-        walker = Walker(names, call)
-        assert walker.value(tree) == run(call), text
-        dearest = max(dearest, walker.steps)
-    for call in DEAR:
-        walker = Walker(names, call)
-        walker.value(tree)
-        dearest = max(dearest, walker.steps)
-        assert walker.steps <= tree.bound, (text, walker.steps, tree.bound)
-    pairs[0] += len(FACTS)
-    ratios.append(tree.bound / dearest)
-
-
-FACTS = [
-    facts("".join(f"{n}: {v}\r\n" for n, v in pairs), number=number, caller=caller)
-    for number, caller, pairs in MESSAGES
+        interpreter = Interpreter(names, call)
+        assert interpreter.value(tree) == run(call), text
+        max_steps_seen = max(max_steps_seen, interpreter.steps)
+    for call in EXPENSIVE_CALLS:
+        interpreter = Interpreter(names, call)
+        interpreter.value(tree)
+        max_steps_seen = max(max_steps_seen, interpreter.steps)
+        assert interpreter.steps <= tree.bound, (text, interpreter.steps, tree.bound)
+    comparisons[0] += len(CALLS)
+    ratios.append(tree.bound / max_steps_seen)
+
+
+CALLS = [
+    facts("".join(f"{n}: {v}\r\n" for n, v in header_fields), number=number, caller=caller)
+    for number, caller, header_fields in MESSAGES
 ]
-DEAR = [
+EXPENSIVE_CALLS = [
     facts("X: q\r\n" * 230 + "X: " + "9" * 7_000 + "\r\n", number="+" + "221" * 5),
     facts("X: " + "9" * 14_000 + "\r\nN: " + "1" * 18 + "\r\n"),
     facts("X: " + "a," * 3_500 + "\r\n", number="+" + "2-" * 1000 + "1"),
@@ -466,12 +469,12 @@
     facts("X: " + "221" * 600 + "\r\n", caller="77" * 3000),
     facts("".join(f"A{n}: 1\r\n" for n in range(240))),
 ]
-pairs = [0]
+comparisons = [0]
 
 
-def test_compiled_and_plain_agree_and_no_bound_is_passed():
-    agree()
-    assert pairs[0] >= 200_000 and len(ratios) > 500
+def test_compiled_and_interpreted_agree_and_no_bound_is_exceeded():
+    check_agreement_and_bound()
+    assert comparisons[0] >= 200_000 and len(ratios) > 500
     assert statistics.median(ratios) <= 10, statistics.median(ratios)
 
 
@@ -485,19 +488,19 @@
     st.sampled_from(["9", "a", "+221", "2-", "q"]),
     st.sampled_from(["221", "7", "2-"]),
 )
-def dearest_message(text, number, caller, count, length, unit, digit):
-    """Searches for the message on which an expression takes most steps, steered towards its bound."""
+def search_costly_message(text, number, caller, count, length, unit, digit):
+    """Searches for the message on which an expression takes the most steps, guided towards its bound."""
     names, tree = checked(text, 10_000_000)
     call = facts(
         "X: q\r\n" * count + "X: " + (unit * length)[:length] + "\r\nN: 12\r\n",
         number="+" + (digit * number)[:number],
         caller="+" + (digit * caller)[:caller],
     )
-    walker = Walker(names, call)
-    walker.value(tree)
-    target(walker.steps / tree.bound)
-    assert walker.steps <= tree.bound, (text, walker.steps, tree.bound)
+    interpreter = Interpreter(names, call)
+    interpreter.value(tree)
+    target(interpreter.steps / tree.bound)
+    assert interpreter.steps <= tree.bound, (text, interpreter.steps, tree.bound)
 
 
-def test_no_message_found_passes_a_bound():
-    dearest_message()
+def test_no_message_found_exceeds_a_bound():
+    search_costly_message()
--- a/tests/match/test_fmt.py
+++ b/tests/match/test_fmt.py
@@ -1,31 +1,31 @@
-"""The formatter: the same tree, the same text when run again, no comment lost."""
+"""The formatter: it preserves the tree, is idempotent and loses no comment."""
 
 import random
 
 import pytest
 from hypothesis import HealthCheck, given, settings
 from match.test_expressions import EXPRESSIONS, GOOD
-from match.test_rule_sets import rules_by_chance
+from match.test_rule_sets import random_rules
 
 from thorndale.match.faults import MatchError
-from thorndale.match.fmt import comments, formatted, shape
+from thorndale.match.fmt import comments, formatted, structure
 from thorndale.match.parse import read
 
 
-def sound(source):
+def assert_round_trip(source):
     text = formatted(source)
-    assert shape(read(text)) == shape(read(source)) and formatted(text) == text
+    assert structure(read(text)) == structure(read(source)) and formatted(text) == text
     assert sorted(c[1] for c in comments(text)) == sorted(c[1] for c in comments(source))
     return text
 
 
-def test_the_example_is_in_its_form():
+def test_example_file_is_in_canonical_layout():
     source = open("examples/proxy.rules", encoding="utf-8").read()
-    assert sound(source) == source
+    assert assert_round_trip(source) == source
 
 
 def test_comments_everywhere():
-    text = sound("""# first
+    text = assert_round_trip("""# first
 set a = ["x" , "y"]   # beside a set
 # above a let
 let b=header( "#no" )??"none"
@@ -43,23 +43,23 @@
 
 def test_long_lists_are_broken():
     values = ", ".join(f'"+2217700{n:05d}"' for n in range(20))
-    assert sound(f'set v = [{values}]\ntable t = {{"a": "b"}}').count("\n") > 20
+    assert assert_round_trip(f'set v = [{values}]\ntable t = {{"a": "b"}}').count("\n") > 20
 
 
 @settings(max_examples=300, derandomize=True, deadline=None, database=None, suppress_health_check=list(HealthCheck))
 @given(EXPRESSIONS)
 def any_expression(text):
-    sound(f'rule "x" {{ when {text} type t }}')
+    assert_round_trip(f'rule "x" {{ when {text} type t }}')
 
 
 def test_generated_and_given_expressions():
     any_expression()
     for text, _ in GOOD:
-        sound(f"let x = {text}")
+        assert_round_trip(f"let x = {text}")
     for n in range(5):
-        sound(rules_by_chance(random.Random(n), 40))
+        assert_round_trip(random_rules(random.Random(n), 40))
 
 
-def test_what_is_no_rule_set_is_refused():
+def test_invalid_rule_set_is_rejected():
     with pytest.raises(MatchError):
         formatted("rule {")
--- a/tests/match/test_rule_sets.py
+++ b/tests/match/test_rule_sets.py
@@ -1,4 +1,4 @@
-"""Rule sets: order, look-up against one after another, faults of whole files, and the hard cases."""
+"""Rule sets: order of rules, indexed look-up against sequential evaluation, errors of whole files, and edge cases."""
 
 import random
 
@@ -12,24 +12,24 @@
 NAMES = Names(("timetable", "leaving-soon"), ("a", "b", "c"), ("coaches",))
 
 
-def name_of(source, given):
-    found = load(source).sort(given)
-    return found.rule if found else None
+def matching_rule(source, given):
+    result = load(source).sort(given)
+    return result.rule if result else None
 
 
-def test_priority_then_place():
+def test_priority_then_position():
     source = """rule "low" { when yes type t }  rule "first" { priority 3 when prefix(number, "+221") type t }
                 rule "second" { priority 3 when prefix(number, "+22133") type t }"""
-    assert name_of(source, facts()) == "first" and name_of(source, facts(number="+33")) == "low"
-    assert name_of('rule "x" { when no type t }', facts()) is None
-    assert name_of('rule "x" { when no type t } default { type d }', facts()) == "default"
+    assert matching_rule(source, facts()) == "first" and matching_rule(source, facts(number="+33")) == "low"
+    assert matching_rule('rule "x" { when no type t }', facts()) is None
+    assert matching_rule('rule "x" { when no type t } default { type d }', facts()) == "default"
 
 
 def test_two_rules_equal_but_for_the_order_of_their_parts():
     one = 'rule "{}" {{ when prefix(number, "+221") and length(caller) > 3 and caller != "x" type t }}'
     two = 'rule "{}" {{ when caller != "x" and length(caller) > 3 and prefix(number, "+221") type t }}'
     for first, second in ((one, two), (two, one)):
-        assert name_of(first.format("p") + second.format("q"), facts()) == "p"
+        assert matching_rule(first.format("p") + second.format("q"), facts()) == "p"
 
 
 def test_prefixes_that_cover_each_other_and_ten_thousand_of_them():
@@ -37,33 +37,33 @@
         f'rule "r{n}" {{ priority {len(str(n))} when prefix(number, "+{n}") type t group "g{n}" }}\n'
         for n in range(1, 10_001)
     )
-    made = load(rules)
+    rule_set = load(rules)
     for number, group in (("+22133", "g2213"), ("+9", "g9"), ("+99", "g99"), ("+100009", "g10000"), ("+0", None)):
-        found = made.sort(facts(number=number))
-        assert (found.group if found else None) == group
-    assert len(made.candidates(facts(number="+22133000111"))) == 4
+        result = rule_set.sort(facts(number=number))
+        assert (result.group if result else None) == group
+    assert len(rule_set.candidates(facts(number="+22133000111"))) == 4
 
 
 def test_outcomes():
     source = """rule "all" { when yes type timetable share by caller [a: 3, b] client coaches key "k" + number class gold
                 header "X-One" = lower(caller) + "!" header "X-Two" = header("X-None") ?? "none" }"""
-    found = load(source, NAMES).sort(facts())
-    assert found == Outcome(
+    result = load(source, NAMES).sort(facts())
+    assert result == Outcome(
         "all",
         "timetable",
-        found.group,
+        result.group,
         "coaches",
         "k+22133000111",
         "gold",
         (("X-One", "+221771234567!"), ("X-Two", "none")),
     )
-    made = load(source, NAMES)
-    groups = [made.sort(facts(caller=f"+22177{n:07d}")).group for n in range(2_000)]
+    rule_set = load(source, NAMES)
+    groups = [rule_set.sort(facts(caller=f"+22177{n:07d}")).group for n in range(2_000)]
     assert 0.70 < groups.count("a") / len(groups) < 0.80
     assert header_safe_text(" a\r\nVia: x\0 ") == "a  Via: x"
 
 
-FAULTY = """set s = ["a", 5]
+INVALID_RULES = """set s = ["a", 5]
 set s = ["b"]
 set prefix = ["c"]
 table t = {"+1": "x", "+1": "y"}
@@ -83,19 +83,19 @@
 """
 
 
-def test_all_faults_of_a_file_at_once_by_line_and_column():
+def test_all_errors_of_a_file_at_once_by_line_and_column():
     with pytest.raises(MatchError) as caught:
-        load(FAULTY, NAMES, "day.rules")
-    found = [(f.line, f.text) for f in caught.value.faults]
+        load(INVALID_RULES, NAMES, "day.rules")
+    result = [(f.line, f.text) for f in caught.value.faults]
     for line, text in (
         (1, "values of one type"),
-        (2, "stands at line 1"),
+        (2, "already defined at line 1"),
         (3, "name of the language"),
         (4, "twice"),
-        (5, "names itself"),
+        (5, "refers to itself"),
         (6, "unknown name 'c'"),
         (9, "'prefix' is meant"),
-        (10, "stands at line 9"),
+        (10, "already defined at line 9"),
         (10, "to-number"),
         (10, "'timetable' is meant"),
         (10, "unknown trunk group 'd'"),
@@ -103,40 +103,40 @@
         (12, "no 'type'"),
         (13, "should be yes/no"),
         (13, "whole number up to"),
-        (13, "priority stands"),
-        (13, "group or share"),
+        (13, "priority is already given"),
+        (13, "group or share is already given"),
         (13, "from 1 to"),
-        (13, "has a share"),
+        (13, "already has a share"),
         (13, "'coaches' is meant"),
-        (14, "no header that a rule may set"),
+        (14, "is not a header that a rule may set"),
         (14, "a header's value should be text"),
         (14, "a key should"),
         (15, "has no ')'"),
-        (16, "no 'when'"),
-        (17, "stands at line 16"),
+        (16, "cannot have a 'when'"),
+        (17, "already defined at line 16"),
         (17, "unknown call type"),
     ):
-        assert any(line == at and text in said for at, said in found), (line, text, found)
+        assert any(line == at and text in reported for at, reported in result), (line, text, result)
     assert str(caught.value).startswith("day.rules:1:")
 
 
-def test_a_file_cut_off_anywhere_is_refused_or_whole():
+def test_a_file_truncated_anywhere_is_rejected_or_whole():
     source = open("examples/proxy.rules", encoding="utf-8").read()
     whole = load(source)
     assert len(whole.rules) == 3
-    kept = 0
+    shorter_sets = 0
     for end in range(len(source)):
         try:
-            made = load(source[:end])
+            rule_set = load(source[:end])
         except MatchError as bad:
             assert bad.faults
             continue
-        kept += len(made.rules) < 3
-    assert kept > 0  # a cut between two rules cannot be seen from the text alone: docs/rules.md says so
+        shorter_sets += len(rule_set.rules) < 3
+    assert shorter_sets > 0  # truncation between two rules is not detectable from the text alone; docs/rules.md says so
 
 
-def rules_by_chance(chance, count):
-    """A set whose rules can and cannot be looked up."""
+def random_rules(rng, count):
+    """A rule set with indexable and non-indexable rules."""
     tests = [
         'prefix(number, "+{d}")',
         'prefix(number, "+22{d}")',
@@ -153,61 +153,57 @@
     ]
     out = ['let station = header("X-Station") ?? "none"', 'set some = ["+221330001", "+3", "+22"]']
     for n in range(count):
-        picked = " and ".join(
-            chance.choice(tests).format(d=chance.randrange(10)) for _ in range(chance.randrange(1, 4))
-        )
-        if chance.random() < 0.2:
-            picked = f'({picked}) or station == "s{chance.randrange(10)}"'
-        out.append(f'rule "r{n}" {{ priority {chance.randrange(4)} when {picked} type t }}')
+        condition = " and ".join(rng.choice(tests).format(d=rng.randrange(10)) for _ in range(rng.randrange(1, 4)))
+        if rng.random() < 0.2:
+            condition = f'({condition}) or station == "s{rng.randrange(10)}"'
+        out.append(f'rule "r{n}" {{ priority {rng.randrange(4)} when {condition} type t }}')
     return "\n".join(out)
 
 
-def test_look_up_and_one_after_another_agree():
-    chance, tried = random.Random(3), 0
+def test_indexed_and_sequential_evaluation_agree():
+    rng, compared = random.Random(3), 0
     for _ in range(25):
-        made = load(rules_by_chance(chance, 60))
+        rule_set = load(random_rules(rng, 60))
         for _ in range(60):
             extra = "".join(
-                f"{n}: {v}{chance.randrange(10)}\r\n"
-                for n, v in (("X-Station", "s"), ("X", "v"))
-                if chance.random() < 0.7
+                f"{n}: {v}{rng.randrange(10)}\r\n" for n, v in (("X-Station", "s"), ("X", "v")) if rng.random() < 0.7
             )
             given = facts(
                 extra,
-                number=f"+{chance.choice(['22', '2', '3', ''])}{chance.randrange(10_000)}",
-                caller=f"+2217{chance.randrange(100)}",
+                number=f"+{rng.choice(['22', '2', '3', ''])}{rng.randrange(10_000)}",
+                caller=f"+2217{rng.randrange(100)}",
             )
-            expected, steps = plain(made, given)
+            expected, steps = plain(rule_set, given)
             given.slots = {}
-            assert made.sort(given) == expected and made.broken == 0
-            assert steps <= made.bound()
-            tried += 1
-    assert tried == 1500
+            assert rule_set.sort(given) == expected and rule_set.broken == 0
+            assert steps <= rule_set.bound()
+            compared += 1
+    assert compared == 1500
 
 
-def test_a_fault_at_run_time_takes_the_default_and_is_counted():
-    made = load('rule "x" { when length(caller) > 3 type t } default { type d }')
+def test_an_error_at_run_time_takes_the_default_and_is_counted():
+    rule_set = load('rule "x" { when length(caller) > 3 type t } default { type d }')
 
-    def broken(facts):
-        raise ZeroDivisionError("a hole in the checker")
+    def raise_error(facts):
+        raise ZeroDivisionError("a defect in the checker")
 
-    made.rests[0] = broken
-    assert made.sort(facts()).rule == "default" and made.broken == 1 and "hole" in made.last_fault
+    rule_set.residuals[0] = raise_error
+    assert rule_set.sort(facts()).rule == "default" and rule_set.broken == 1 and "defect" in rule_set.last_fault
 
 
-def test_explain_tells_each_part():
-    made = load(
+def test_explain_reports_each_value():
+    rule_set = load(
         'rule "no" { when prefix(number, "+1") type t } rule "yes" { when station == "x" type t }'.replace(
             "station", '(header("X-Station") ?? "none")'
         )
     )
-    tried, outcome = made.explain(facts("X-Station: x\r\n"))
-    assert [fits for _, fits, _ in tried] == [False, True] and outcome.rule == "yes"
-    assert any(value == "x" for _, _, _, value in tried[1][2])
-    assert isinstance(made, RuleSet)
+    evaluated, outcome = rule_set.explain(facts("X-Station: x\r\n"))
+    assert [fits for _, fits, _ in evaluated] == [False, True] and outcome.rule == "yes"
+    assert any(value == "x" for _, _, _, value in evaluated[1][2])
+    assert isinstance(rule_set, RuleSet)
 
 
-def test_a_set_that_names_itself():
+def test_a_set_that_refers_to_itself():
     for source in ("set a = [a]", 'set a = ["x", b]\nset b = ["y"]', "let a = b\nlet b = a"):
         with pytest.raises(MatchError):
             load(source + "\ndefault { type t }")
@@ -221,9 +217,9 @@
         load("\n".join(f'rule "{n}" {{ when yes type t }}' for n in range(20_001)))
 
 
-def test_the_kept_tables_are_of_this_grammar_and_library():
-    from thorndale.match.parse import built
+def test_stored_tables_match_grammar_and_lark_version():
+    from thorndale.match.parse import parser_builder
 
-    _, seal = built()
+    _, fingerprint = parser_builder()
     with open("thorndale/match/grammar.tables", "rb") as file:
-        assert file.read().startswith(seal), "run python -m thorndale.match.tables"
+        assert file.read().startswith(fingerprint), "run python -m thorndale.match.tables"
--- a/thorndale/match/__init__.py
+++ b/thorndale/match/__init__.py
@@ -1,5 +1,7 @@
-"""Matching expressions: a typed, bounded language that sorts calls. Pure: files are read by whoever loads a set.
+"""Matching expressions: a typed language with bounded evaluation cost that classifies calls.
 
-`rules.load(text, ...)` gives a checked, compiled set or every fault with its line and column; `set.sort(facts)` then
-costs at most what was proven when it was loaded.
+The package does no file I/O: the caller of `rules.load` supplies a reader for sets and tables in files.
+
+`rules.load(text, ...)` returns a checked and compiled RuleSet, or reports every error with its line and column.
+Classifying a call then takes at most the number of steps that was proven at load time.
 """
--- a/thorndale/match/compile.py
+++ b/thorndale/match/compile.py
@@ -1,16 +1,18 @@
-"""Checked trees to Python functions. Nothing of a rule's text gets into the code that is made: literals, forms, sets
-and tables are handed over as values under numbered names; the code itself is put together from the tree's kinds alone.
+"""Compiles checked trees to Python functions.
 
-Parts that several expressions share, and lets, are worked out once a call and kept in `facts.slots`.
+To prevent code injection, no text of a rule gets into the generated source: literals, patterns, sets and tables are
+bound in the namespace under numbered names, and the source is built from the kinds of the nodes alone.
+
+Subexpressions that several expressions share, and lets, are evaluated once per call and cached in `facts.slots`.
 """
 
 from collections import Counter
 
-from thorndale.match.functions import FUNCTIONS, NAMES, PARTS, prepared
-from thorndale.match.walk import constant, folded
+from thorndale.match.functions import FUNCTIONS, NAMES, URI_PARTS, prepare_literals
+from thorndale.match.walk import fold_constants, is_constant
 
-SHARE_FROM = 4  # steps of a part from which keeping its value is dearer than working it out again
-INLINE = {
+SHARE_MIN_STEPS = 4  # below this, caching a subexpression costs more than evaluating it again
+INLINE_TEMPLATES = {
     "prefix": "{0}.startswith({1})",
     "suffix": "{0}.endswith({1})",
     "contains": "({1} in {0})",
@@ -22,37 +24,37 @@
 
 
 class Compiler:
-    """Makes functions of one argument, the facts. All expressions of a set go through one compiler."""
+    """Compiles expressions to functions of one argument, the Facts. One instance serves all expressions of a set."""
 
     def __init__(self, scope, expressions):
-        """`expressions` are all checked trees that will be compiled: what they share is found first."""
+        """`expressions` are all checked trees to be compiled; they determine the shared subexpressions."""
         self.scope = scope
-        self.space, self.serial, self.lets, self.shared, self.temporary = {}, 0, {}, {}, 0
-        self.folded = {}
+        self.namespace, self.serial, self.let_functions, self.shared_functions, self.temporary_count = {}, 0, {}, {}, 0
+        self.folded_trees = {}
         counts = Counter()
         for tree in expressions:
-            for part in self._fold(tree):
-                if part.args and part.bound >= SHARE_FROM and part.kind != "list":
+            for part in self._fold_tree(tree):
+                if part.args and part.bound >= SHARE_MIN_STEPS and part.kind != "list":
                     counts[part.identity()] += 1
-        self.common = {key for key, n in counts.items() if n > 1}
+        self.shared_keys = {key for key, n in counts.items() if n > 1}
 
-    def _fold(self, tree):
-        found = self.folded.get(id(tree))
-        if found is None:  # the tree is kept too: another could be given its id once it is gone
-            found = self.folded[id(tree)] = (tree, folded(tree, self.scope))
-        return found[1]
+    def _fold_tree(self, tree):
+        cached = self.folded_trees.get(id(tree))
+        if cached is None:  # keeps a reference to the tree: after its deletion another object could get its id
+            cached = self.folded_trees[id(tree)] = (tree, fold_constants(tree, self.scope))
+        return cached[1]
 
-    def _give(self, value, prefix="k"):
+    def _bind(self, value, prefix="k"):
         self.serial += 1
         name = f"{prefix}{self.serial}"
-        self.space[name] = value
+        self.namespace[name] = value
         return name
 
     def function(self, tree):
-        """The compiled form of a checked tree."""
-        return self._made(self._code(self._fold(tree)))
+        """The compiled function of a checked tree."""
+        return self._define(self._emit(self._fold_tree(tree)))
 
-    def _made(self, code, slot=None):
+    def _define(self, code, slot=None):
         self.serial += 1
         name = f"fn{self.serial}"
         if slot is None:
@@ -62,86 +64,86 @@
                 f"def {name}(f):\n s = f.slots\n v = s.get({slot}, s)\n if v is s:\n"
                 f"  v = s[{slot}] = {code}\n return v\n"
             )
-        exec(compile(text, "<rules>", "exec"), self.space)  # noqa: S102 - made above from kinds and numbered names
-        return self.space[name]
+        exec(compile(text, "<rules>", "exec"), self.namespace)  # noqa: S102 - source holds node kinds and numbered names only
+        return self.namespace[name]
 
-    def _code(self, node, top=False):
-        if node.args and not top and node.identity() in self.common:
-            name = self.shared.get(node.identity())
+    def _emit(self, node, top=False):
+        if node.args and not top and node.identity() in self.shared_keys:
+            name = self.shared_functions.get(node.identity())
             if name is None:
-                made = self._made(self._code(node, True), self.serial)
-                name = self.shared[node.identity()] = self._give(made, "sh")
+                made = self._define(self._emit(node, True), self.serial)
+                name = self.shared_functions[node.identity()] = self._bind(made, "sh")
             return f"{name}(f)"
         return getattr(self, f"_{node.kind}")(node)
 
     def _literal(self, node):
-        return self._give(node.value)
+        return self._bind(node.value)
 
     def _name(self, node):
         if node.value in NAMES:
             if node.value == "caller-uri":
                 return "f.caller_uri"
             return f"f.{node.value}"
-        name = self.lets.get(node.value)
+        name = self.let_functions.get(node.value)
         if name is None:
-            made = self._made(self._code(self._fold(self.scope.lets[node.value])), self.serial)
-            name = self.lets[node.value] = self._give(made, "let")
+            made = self._define(self._emit(self._fold_tree(self.scope.lets[node.value])), self.serial)
+            name = self.let_functions[node.value] = self._bind(made, "let")
         return f"{name}(f)"
 
     def _part(self, node):
-        return f"{self._give(PARTS[node.value][2], 'part')}({self._code(node.args[0])})"
+        return f"{self._bind(URI_PARTS[node.value][2], 'part')}({self._emit(node.args[0])})"
 
     def _call(self, node):
         function = FUNCTIONS[node.value]
         if node.value == "longest":
-            table = self._give(self.scope.tables[node.args[1].value])
-            return f"{self._give(function.run, 'fun')}(f, {self._code(node.args[0])}, {table})"
-        if node.value in INLINE:
-            return INLINE[node.value].format(*(self._code(a) for a in node.args))
-        if function.make:
-            values = prepared(function, [a.value if a.kind == "literal" else None for a in node.args])
+            table = self._bind(self.scope.tables[node.args[1].value])
+            return f"{self._bind(function.run, 'fun')}(f, {self._emit(node.args[0])}, {table})"
+        if node.value in INLINE_TEMPLATES:
+            return INLINE_TEMPLATES[node.value].format(*(self._emit(a) for a in node.args))
+        if function.literal_kind:
+            values = prepare_literals(function, [a.value if a.kind == "literal" else None for a in node.args])
             codes = [
-                self._give(values[n]) if n in function.literals else self._code(a) for n, a in enumerate(node.args)
+                self._bind(values[n]) if n in function.literal_args else self._emit(a) for n, a in enumerate(node.args)
             ]
         else:
-            codes = [self._code(a) for a in node.args]
-        return f"{self._give(function.run, 'fun')}(f, {', '.join(codes)})"
+            codes = [self._emit(a) for a in node.args]
+        return f"{self._bind(function.run, 'fun')}(f, {', '.join(codes)})"
 
     def _list(self, node):
-        return f"[{', '.join(self._code(a) for a in node.args)}]"
+        return f"[{', '.join(self._emit(a) for a in node.args)}]"
 
     def _choice(self, node):
-        condition, one, two = (self._code(a) for a in node.args)
-        return f"({one} if {condition} else {two})"
+        condition, if_true, if_false = (self._emit(a) for a in node.args)
+        return f"({if_true} if {condition} else {if_false})"
 
     def _or(self, node):
-        return "(" + " or ".join(self._code(a) for a in node.args) + ")"
+        return "(" + " or ".join(self._emit(a) for a in node.args) + ")"
 
     def _and(self, node):
-        return "(" + " and ".join(self._code(a) for a in node.args) + ")"
+        return "(" + " and ".join(self._emit(a) for a in node.args) + ")"
 
     def _not(self, node):
-        return f"(not {self._code(node.args[0])})"
+        return f"(not {self._emit(node.args[0])})"
 
     def _compare(self, node):
-        return f"({self._code(node.args[0])} {node.value} {self._code(node.args[1])})"
+        return f"({self._emit(node.args[0])} {node.value} {self._emit(node.args[1])})"
 
     def _in(self, node):
-        left = self._code(node.args[0])
+        left = self._emit(node.args[0])
         if node.value is not None:
-            return f"({left} in {self._give(self.scope.sets[node.value])})"
+            return f"({left} in {self._bind(self.scope.sets[node.value])})"
         right = node.args[1]
-        if right.kind == "list" and constant(right) and all(a.kind == "literal" for a in right.args):
-            return f"({left} in {self._give(frozenset(a.value for a in right.args))})"
-        return f"({left} in {self._code(right)})"
+        if right.kind == "list" and is_constant(right) and all(a.kind == "literal" for a in right.args):
+            return f"({left} in {self._bind(frozenset(a.value for a in right.args))})"
+        return f"({left} in {self._emit(right)})"
 
     def _other(self, node):
-        code = self._code(node.args[-1])
+        code = self._emit(node.args[-1])
         for arg in reversed(node.args[:-1]):
-            self.temporary += 1
-            name = f"t{self.temporary}"
-            code = f"({name} if ({name} := {self._code(arg)}) is not None else {code})"
+            self.temporary_count += 1
+            name = f"t{self.temporary_count}"
+            code = f"({name} if ({name} := {self._emit(arg)}) is not None else {code})"
         return code
 
     def _sum(self, node):
-        return f"({self._code(node.args[0])} {node.value} {self._code(node.args[1])})"
+        return f"({self._emit(node.args[0])} {node.value} {self._emit(node.args[1])})"
--- a/thorndale/match/deep.py
+++ b/thorndale/match/deep.py
@@ -1,9 +1,12 @@
-"""Questions that trying calls cannot answer: which rules can never match, which two of one priority both may, and
-which calls match none. Answered by z3 over all texts, within a time limit; what it cannot tell in time is 'unknown'.
+"""Static analysis of a rule set with the z3 solver: rules that can never match, pairs of rules of one priority that
+match the same call, and calls that match no rule.
 
-What the solver does not know (a hash, the time of day, a regular form, a URI's parts) stands as a free value, the same
-wherever the same expression stands. So 'never' holds for sure; a call given as an example is tried on the rules first,
-and one that does not do what it should is called unknown.
+The solver covers all texts, within a time limit; a question not decided in time is reported as 'unknown'.
+
+Expressions that are not modelled (a hash, the time of day, a regular expression, the parts of a URI) become free
+variables, one per distinct expression. A finding 'never' is therefore always correct. An example call may be spurious,
+so it is first run through the compiled rules; an overlap or a gap that its call does not confirm is not reported as
+one: an unconfirmed gap becomes 'unknown', an unconfirmed overlap is left out.
 """
 
 import time
@@ -15,14 +18,14 @@
 from thorndale.sip import message as m
 from thorndale.sip.errors import SipError
 
-QUESTION_MS = 400  # for one question
-EARLIER_MOST = 40  # earlier rules that a rule is held against: leaving some out can only hide a 'never'
-SET_MOST = 60  # values of a set that are written out for the solver; a larger one is a free yes/no
+QUERY_TIMEOUT_MS = 400  # per solver query
+MAX_EARLIER_RULES = 40  # that a rule is compared with; leaving some out can only miss a 'never'
+MAX_SET_VALUES = 60  # larger sets are modelled as a free boolean
 
 
 class Finding(NamedTuple):
-    """`kind`: never, both, none, unknown. `rules` are the names concerned; `example` is a call: number, caller,
-    headers."""
+    """`kind` is never, both, none or unknown; `rules` names the rules concerned; `example` is a call with its number,
+    caller and headers."""
 
     kind: str
     rules: tuple
@@ -31,10 +34,10 @@
 
 
 class Encoder:
-    """Trees to z3 terms. A value that may be absent is a pair (present, value)."""
+    """Translates trees to z3 terms. An optional value is a pair (present, value)."""
 
     def __init__(self, scope):
-        self.scope, self.free, self.headers, self.always = scope, {}, {}, []
+        self.scope, self.free_values, self.headers, self.constraints = scope, {}, {}, []
         self.number, self.caller = z3.String("number"), z3.String("caller")
 
     def term(self, node):
@@ -42,24 +45,24 @@
 
     def _opaque(self, node):
         key = node.identity()
-        if key not in self.free:
-            name, kind = f"free{len(self.free)}", node.type.kind
+        if key not in self.free_values:
+            name, kind = f"free{len(self.free_values)}", node.type.kind
             if kind == "text":
-                made = z3.String(name)
+                variable = z3.String(name)
             elif kind == "yes/no":
-                made = z3.Bool(name)
+                variable = z3.Bool(name)
             else:
-                made = z3.Real(name)
-                self.always.append(made >= 0)
-            self.free[key] = (z3.Bool(name + "?"), made) if node.type.maybe else made
-        return self.free[key]
+                variable = z3.Real(name)
+                self.constraints.append(variable >= 0)
+            self.free_values[key] = (z3.Bool(name + "?"), variable) if node.type.optional else variable
+        return self.free_values[key]
 
     def _literal(self, node):
         if isinstance(node.value, bool):
             return z3.BoolVal(node.value)
         if isinstance(node.value, float):
             return z3.RealVal(repr(node.value))
-        return text_value(node.value)
+        return string_value(node.value)
 
     def _name(self, node):
         if node.value == "number":
@@ -89,7 +92,7 @@
         return self._opaque(node)
 
     def _choice(self, node):
-        return z3.If(*(self.term(a) for a in node.args)) if not node.type.maybe else self._opaque(node)
+        return z3.If(*(self.term(a) for a in node.args)) if not node.type.optional else self._opaque(node)
 
     def _or(self, node):
         return z3.Or([self.term(a) for a in node.args])
@@ -101,23 +104,23 @@
         return z3.Not(self.term(node.args[0]))
 
     def _compare(self, node):
-        one, two = (self.term(a) for a in node.args)
+        first, second = (self.term(a) for a in node.args)
         return {
-            "==": lambda: one == two,
-            "!=": lambda: one != two,
-            "<": lambda: one < two,
-            ">": lambda: one > two,
-            "<=": lambda: one <= two,
-            ">=": lambda: one >= two,
+            "==": lambda: first == second,
+            "!=": lambda: first != second,
+            "<": lambda: first < second,
+            ">": lambda: first > second,
+            "<=": lambda: first <= second,
+            ">=": lambda: first >= second,
         }[node.value]()
 
     def _in(self, node):
         left = self.term(node.args[0])
         if node.value is not None:
             values = self.scope.sets[node.value]
-            if len(values) > SET_MOST:
+            if len(values) > MAX_SET_VALUES:
                 return self._opaque(node)
-            terms = [text_value(v) if isinstance(v, str) else z3.RealVal(repr(v)) for v in sorted(values)]
+            terms = [string_value(v) if isinstance(v, str) else z3.RealVal(repr(v)) for v in sorted(values)]
             return z3.Or([left == term for term in terms])
         if node.args[1].kind != "list":
             return self._opaque(node)
@@ -135,54 +138,54 @@
         return found
 
     def _sum(self, node):
-        one, two = (self.term(a) for a in node.args)
+        first, second = (self.term(a) for a in node.args)
         if node.type.kind == "text":
-            return z3.Concat(one, two)
-        return one + two if node.value == "+" else one - two
+            return z3.Concat(first, second)
+        return first + second if node.value == "+" else first - second
 
 
-def text_value(text):
-    """z3's string; signs outside of plain ASCII as escapes."""
+def string_value(text):
+    """A z3 string literal; characters outside printable ASCII are escaped."""
     return z3.StringVal("".join(c if " " <= c < "\x7f" and c != "\\" else f"\\u{{{ord(c):x}}}" for c in text))
 
 
-def words(tree, scope):
-    """What a rule reads: names and headers, through its lets."""
+def inputs_of(tree, scope):
+    """Identities of the names and headers that a tree reads, with its lets resolved."""
     found = set()
     for node in tree:
         if node.kind == "name" and node.value in scope.lets:
-            found |= words(scope.lets[node.value], scope)
+            found |= inputs_of(scope.lets[node.value], scope)
         elif node.kind == "name" or node.kind == "call" and node.value in ("header", "headers"):
             found.add(node.identity())
     return found
 
 
 class Analysis:
-    """`seconds` for all questions together."""
+    """`seconds` limits the time of all queries together."""
 
     def __init__(self, rules, seconds=20.0):
-        self.rules, self.end = rules, time.monotonic() + seconds
+        self.rules, self.deadline = rules, time.monotonic() + seconds
         self.encoder = Encoder(rules.scope)
         self.terms = [self.encoder.term(rule.when) for rule in rules.rules]
-        self.words = [words(rule.when, rules.scope) for rule in rules.rules]
+        self.inputs = [inputs_of(rule.when, rules.scope) for rule in rules.rules]
         encoder = self.encoder
         digits = z3.Range("0", "9")
-        plain = z3.Concat(z3.Option(z3.Re("+")), z3.Plus(digits))
-        self.usual = [
-            z3.InRe(encoder.number, plain),
-            z3.InRe(encoder.caller, plain),
+        phone_number = z3.Concat(z3.Option(z3.Re("+")), z3.Plus(digits))
+        self.plausible = [
+            z3.InRe(encoder.number, phone_number),
+            z3.InRe(encoder.caller, phone_number),
             z3.Length(encoder.number) <= 16,
             z3.Length(encoder.caller) <= 16,
         ]
 
-    def ask(self, terms, usual=False):
-        """'sat' with a call, 'unsat', or 'unknown'."""
-        left = int((self.end - time.monotonic()) * 1000)
-        if left <= 0:
+    def solve(self, terms, plausible=False):
+        """Returns ('sat', an example call), ('unsat', None) or ('unknown', None)."""
+        remaining_ms = int((self.deadline - time.monotonic()) * 1000)
+        if remaining_ms <= 0:
             return "unknown", None
         solver = z3.Solver()
-        solver.set("timeout", min(QUESTION_MS, left))
-        solver.add(*self.encoder.always, *terms, *(self.usual if usual else ()))
+        solver.set("timeout", min(QUERY_TIMEOUT_MS, remaining_ms))
+        solver.add(*self.encoder.constraints, *terms, *(self.plausible if plausible else ()))
         answer = str(solver.check())
         return answer, self._call(solver.model()) if answer == "sat" else None
 
@@ -198,8 +201,9 @@
         }
         return {"number": text(encoder.number), "caller": text(encoder.caller), "headers": headers}
 
-    def sorted_by(self, call):
-        """The name of the rule that really sorts the call, 'default' or ''; None where it is no call."""
+    def matching_rule(self, call):
+        """The name of the rule that the compiled set selects for the call, or 'default'; '' if none matches; None if
+        the message is malformed."""
         lines = [
             f"INVITE sip:{call['number']}@127.0.0.1 SIP/2.0",
             "Via: SIP/2.0/UDP 127.0.0.1;branch=z9hG4bKx",
@@ -217,61 +221,65 @@
             return None
         return found.rule if found else ""
 
-    def never(self):
-        """Rules that no call can reach: their own tests contradict each other, or earlier ones take all."""
+    def unreachable_rules(self):
+        """Rules that match no call: their own tests contradict each other, or earlier rules match all their calls."""
         found = []
         for n, rule in enumerate(self.rules.rules):
-            answer, _ = self.ask([self.terms[n]])
+            answer, _ = self.solve([self.terms[n]])
             if answer == "unsat":
                 found.append(Finding("never", (rule.name,), "its tests contradict each other"))
                 continue
-            near = sorted(
-                (e for e in range(n) if self.words[e] & self.words[n] or not self.words[e] or not self.words[n]),
-                key=lambda e: -len(self.words[e] & self.words[n]),
-            )[:EARLIER_MOST]
-            before = [z3.Not(self.terms[e]) for e in near]
-            answer, call = self.ask([self.terms[n], *before])
+            candidates = sorted(
+                (e for e in range(n) if self.inputs[e] & self.inputs[n] or not self.inputs[e] or not self.inputs[n]),
+                key=lambda e: -len(self.inputs[e] & self.inputs[n]),
+            )[:MAX_EARLIER_RULES]
+            before = [z3.Not(self.terms[e]) for e in candidates]
+            answer, call = self.solve([self.terms[n], *before])
             if answer == "unsat":
-                found.append(Finding("never", (rule.name, *self._cause(n, near)), "rules before it take all its calls"))
+                found.append(
+                    Finding(
+                        "never", (rule.name, *self._shadowing_rule(n, candidates)), "earlier rules match all its calls"
+                    )
+                )
             elif answer == "unknown":
-                found.append(Finding("unknown", (rule.name,), "not told in time whether any call can reach it"))
+                found.append(Finding("unknown", (rule.name,), "not decided in time whether any call can reach it"))
         return found
 
-    def _cause(self, n, near):
-        """The one earlier rule that takes all, where it is one."""
-        for e in near:
-            if self.ask([self.terms[n], z3.Not(self.terms[e])])[0] == "unsat":
+    def _shadowing_rule(self, n, candidates):
+        """The single earlier rule that matches all calls of rule `n`, if there is one."""
+        for e in candidates:
+            if self.solve([self.terms[n], z3.Not(self.terms[e])])[0] == "unsat":
                 return (self.rules.rules[e].name,)
         return ()
 
-    def both(self):
-        """Pairs of one priority that one call fits, with such a call: their order in the file decides."""
+    def overlapping_rules(self):
+        """Pairs of rules of one priority that match the same call, with an example; their order in the file decides."""
         found, rules = [], self.rules.rules
         for n, rule in enumerate(rules):
             for e in range(n):
-                if rules[e].priority != rule.priority or not self.words[e] & self.words[n]:
+                if rules[e].priority != rule.priority or not self.inputs[e] & self.inputs[n]:
                     continue
-                if time.monotonic() > self.end:
-                    return [*found, Finding("unknown", (), "the time is over; not all pairs were asked")]
-                answer, call = self.ask([self.terms[n], self.terms[e]], True)
+                if time.monotonic() > self.deadline:
+                    return [*found, Finding("unknown", (), "the time limit was reached; not all pairs were checked")]
+                answer, call = self.solve([self.terms[n], self.terms[e]], True)
                 if answer == "sat":
-                    if self.sorted_by(call) in (rules[e].name, *(r.name for r in rules[:e])):
-                        found.append(Finding("both", (rules[e].name, rule.name), "one call fits both", call))
+                    if self.matching_rule(call) in (rules[e].name, *(r.name for r in rules[:e])):
+                        found.append(Finding("both", (rules[e].name, rule.name), "one call matches both", call))
                 elif answer == "unknown":
                     pair = (rules[e].name, rule.name)
-                    found.append(Finding("unknown", pair, "not told in time whether both may fit"))
+                    found.append(Finding("unknown", pair, "not decided in time whether one call can match both"))
         return found
 
-    def none(self):
-        """A call that no rule takes, where there is no default."""
+    def unmatched_calls(self):
+        """A call that matches no rule, if the set has no default."""
         if self.rules.default is not None:
             return []
-        answer, call = self.ask([z3.Not(t) for t in self.terms], True)
-        if answer == "sat" and self.sorted_by(call) == "":
-            return [Finding("none", (), "no rule fits this call, and there is no default", call)]
+        answer, call = self.solve([z3.Not(t) for t in self.terms], True)
+        if answer == "sat" and self.matching_rule(call) == "":
+            return [Finding("none", (), "no rule matches this call, and there is no default", call)]
         if answer == "unsat":
             return []
-        return [Finding("unknown", (), "not told in time whether every call is taken")]
+        return [Finding("unknown", (), "not decided in time whether every call matches a rule")]
 
     def all(self):
-        return [*self.never(), *self.none(), *self.both()]
+        return [*self.unreachable_rules(), *self.unmatched_calls(), *self.overlapping_rules()]
--- a/thorndale/match/facts.py
+++ b/thorndale/match/facts.py
@@ -1,6 +1,6 @@
-"""What an expression may read of a call, read when it is asked for and then kept.
+"""The attributes of a call that expressions can read, parsed on first use and cached.
 
-Bounds of what comes in are the SIP package's: no text is longer than MOST_TEXT, no list longer than MOST_VALUES.
+The SIP package bounds the input: no text is longer than MAX_TEXT_CHARS, no list longer than MAX_HEADER_VALUES.
 """
 
 from datetime import UTC, datetime
@@ -9,12 +9,13 @@
 from thorndale.sip.message import MAX_FIELDS, MAX_HEAD, key_of
 from thorndale.sip.uri import digits, parse_uri
 
-MOST_TEXT = MAX_HEAD  # characters of any text in a message's head
-MOST_VALUES = MAX_FIELDS  # values of one header
+MAX_TEXT_CHARS = MAX_HEAD  # bytes of a message head bound every text in it
+MAX_HEADER_VALUES = MAX_FIELDS  # per header name
 
 
 class Facts:
-    """Of an INVITE. `wall_us` is the wall clock when it came; `slots` keeps the shared parts' values."""
+    """The attributes of an INVITE. `wall_us` is the wall clock time of its arrival; `slots` caches the values of shared
+    subexpressions and lets."""
 
     __slots__ = ("invite", "transport", "wall_us", "slots", "_uri", "_caller", "_headers", "steps")
 
@@ -24,14 +25,14 @@
 
     @property
     def uri(self):
-        """The Request-URI. One that cannot be read is refused before any rule is tried."""
+        """The Request-URI. A call whose Request-URI is malformed is rejected before any rule is evaluated."""
         if self._uri is None:
             self._uri = parse_uri(self.invite.uri)
         return self._uri
 
     @property
     def caller_uri(self):
-        """The From's URI, or None where it cannot be read."""
+        """The URI of the From header, or None if it is malformed."""
         if self._caller is None:
             try:
                 self._caller = (parse_uri(self.invite.from_.uri),)
@@ -45,21 +46,21 @@
 
     @property
     def caller(self):
-        """The caller's number, or the text of a From that is no URI of ours."""
+        """The caller's number, or the raw text of a From whose URI cannot be parsed."""
         uri = self.caller_uri
         return digits(uri) if uri is not None else self.invite.from_.uri
 
     def headers(self, name):
-        """All values of a header, in order; compact forms are the same name."""
-        found = self._headers.get(name)
-        if found is None:
+        """All values of a header, in order; a compact form counts as the full name."""
+        result = self._headers.get(name)
+        if result is None:
             try:
-                found = self.invite.all(key_of(name))[:MOST_VALUES]
-            except SipError:  # a quoted string without an end: one value, as it came
-                found = [field[2] for field in self.invite.fields if field[0] == key_of(name)]
-            self._headers[name] = found
-        return found
+                result = self.invite.all(key_of(name))[:MAX_HEADER_VALUES]
+            except SipError:  # unterminated quoted string: each field is one raw value
+                result = [field[2] for field in self.invite.fields if field[0] == key_of(name)]
+            self._headers[name] = result
+        return result
 
     def local(self, zone):
-        """The wall clock in a zone, of zoneinfo."""
+        """The wall clock time of arrival in a time zone (ZoneInfo)."""
         return datetime.fromtimestamp(self.wall_us / 1e6, UTC).astimezone(zone)
--- a/thorndale/match/faults.py
+++ b/thorndale/match/faults.py
@@ -1,10 +1,10 @@
-"""The package's errors: every fault of a text, each with its place."""
+"""Errors of the matching language: all diagnostics of a text, each with its position."""
 
 from typing import NamedTuple
 
 
-class Fault(NamedTuple):
-    """`line` and `column` count from 1; `text` says what is wrong and what to do."""
+class Diagnostic(NamedTuple):
+    """`line` and `column` count from 1; `text` describes the error and how to fix it."""
 
     line: int
     column: int
@@ -12,19 +12,19 @@
 
 
 class MatchError(Exception):
-    """A text that cannot be used. `faults` is a list of Fault, by place."""
+    """A text with errors. `faults` is a list of Diagnostic, sorted by position."""
 
     def __init__(self, faults, source="", name="rules"):
         self.faults, self.source, self.name = sorted(faults), source, name
         super().__init__(self.show())
 
     def show(self):
-        """Each fault as `name:line:column: text`, its line and a caret below."""
+        """Formats each diagnostic as `name:line:column: text`, followed by its source line and a caret."""
         lines, out = self.source.split("\n"), []
-        for fault in self.faults:
-            out.append(f"{self.name}:{fault.line}:{fault.column}: {fault.text}")
-            if 0 < fault.line <= len(lines):
-                line = lines[fault.line - 1]
-                shift = max(0, fault.column - 60)
-                out += [f"    {line[shift : shift + 100]}", "    " + " " * (fault.column - 1 - shift) + "^"]
+        for diagnostic in self.faults:
+            out.append(f"{self.name}:{diagnostic.line}:{diagnostic.column}: {diagnostic.text}")
+            if 0 < diagnostic.line <= len(lines):
+                line = lines[diagnostic.line - 1]
+                shift = max(0, diagnostic.column - 60)
+                out += [f"    {line[shift : shift + 100]}", "    " + " " * (diagnostic.column - 1 - shift) + "^"]
         return "\n".join(out)
--- a/thorndale/match/forms.py
+++ b/thorndale/match/forms.py
@@ -1,179 +1,186 @@
-"""Regular forms that cannot backtrack: compiled at load to a table of states, one look-up a character.
+"""Regular expressions without backtracking, compiled at load time to a DFA: one table look-up per character.
 
-A form is matched against the whole text. It knows `.`, `[a-z]`, `[^...]`, `\\d`, `\\` before any other sign, `(...)`,
-`|`, `*`, `+`, `?`. Nested repetition is no matter: the number of states is bounded at load, the steps by the text.
+A pattern must match the whole text. The syntax has `.`, `[a-z]`, `[^...]`, `\\d`, `\\` before any other character,
+`(...)`, `|`, `*`, `+`, `?`. Nested repetition does not blow up matching: the number of states is bounded at load time,
+and the steps by the length of the text.
 """
 
-from thorndale.match.faults import Fault, MatchError
+from thorndale.match.faults import Diagnostic, MatchError
 
-STATES_MOST = 400  # states of a form's table; a form that needs more is refused
-LENGTH_MOST = 300  # characters of a form
-OTHER = "\U0010ffff"  # stands for every character that the form does not name
+MAX_STATES = 400  # DFA states per pattern; a pattern that needs more is rejected
+MAX_PATTERN_CHARS = 300
+OTHER = "\U0010ffff"  # represents every character that the pattern does not name
 
 
 class _Parser:
-    """Thompson's construction: fragments of (start, end) over a list of edges by state."""
+    """Parses a pattern to an NFA by Thompson's construction. Each fragment is a pair (start state, end state)."""
 
     def __init__(self, text):
-        self.text, self.at = text, 0
-        self.empty, self.edges = [], []  # by state: states reached without a character; [(set or None, negated, to)]
+        self.text, self.position = text, 0
+        self.epsilon_edges, self.edges = [], []  # per state: targets; [(set or None, negated, target)]
 
     def state(self):
-        self.empty.append([])
+        self.epsilon_edges.append([])
         self.edges.append([])
-        return len(self.empty) - 1
+        return len(self.epsilon_edges) - 1
 
-    def fail(self, why):
-        raise MatchError([Fault(1, self.at + 1, why)], self.text, "form")
+    def reject(self, why):
+        raise MatchError([Diagnostic(1, self.position + 1, why)], self.text, "form")
 
-    def either(self, depth=0):
+    def alternation(self, depth=0):
         if depth > 30:
-            self.fail("brackets are nested deeper than 30")
+            self.reject("brackets are nested deeper than 30")
         start, end = self.state(), self.state()
         while True:
-            first, last = self.row(depth)
-            self.empty[start].append(first)
-            self.empty[last].append(end)
+            first, last = self.sequence(depth)
+            self.epsilon_edges[start].append(first)
+            self.epsilon_edges[last].append(end)
             if self.peek() != "|":
                 return start, end
-            self.at += 1
+            self.position += 1
 
     def peek(self):
-        return self.text[self.at] if self.at < len(self.text) else ""
+        return self.text[self.position] if self.position < len(self.text) else ""
 
-    def row(self, depth):
+    def sequence(self, depth):
         start = end = self.state()
         while self.peek() not in ("", "|", ")"):
-            first, last = self.piece(depth)
-            self.empty[end].append(first)
+            first, last = self.repetition(depth)
+            self.epsilon_edges[end].append(first)
             end = last
         return start, end
 
-    def piece(self, depth):
-        first, last = self.one(depth)
+    def repetition(self, depth):
+        first, last = self.atom(depth)
         while self.peek() and self.peek() in "*+?":
-            sign = self.text[self.at]
-            self.at += 1
+            char = self.text[self.position]
+            self.position += 1
             start, end = self.state(), self.state()
-            self.empty[start].append(first)
-            self.empty[last].append(end)
-            if sign in "*?":
-                self.empty[start].append(end)
-            if sign in "*+":
-                self.empty[last].append(first)
+            self.epsilon_edges[start].append(first)
+            self.epsilon_edges[last].append(end)
+            if char in "*?":
+                self.epsilon_edges[start].append(end)
+            if char in "*+":
+                self.epsilon_edges[last].append(first)
             first, last = start, end
         return first, last
 
-    def one(self, depth):
-        sign = self.text[self.at]
-        self.at += 1
-        if sign == "(":
-            first, last = self.either(depth + 1)
+    def atom(self, depth):
+        char = self.text[self.position]
+        self.position += 1
+        if char == "(":
+            first, last = self.alternation(depth + 1)
             if self.peek() != ")":
-                self.fail("'(' has no ')'")
-            self.at += 1
+                self.reject("'(' has no ')'")
+            self.position += 1
             return first, last
-        if sign in "*+?":
-            self.at -= 1
-            self.fail(f"nothing stands before {sign!r}")
-        named, negated = None, False
-        if sign == "[":
-            named, negated = self.members()
-        elif sign == "\\":
-            named = self.escaped()
-        elif sign != ".":
-            named = frozenset(sign)
+        if char in "*+?":
+            self.position -= 1
+            self.reject(f"nothing to repeat before {char!r}")
+        charset, negated = None, False
+        if char == "[":
+            charset, negated = self.char_class()
+        elif char == "\\":
+            charset = self.escape()
+        elif char != ".":
+            charset = frozenset(char)
         first, last = self.state(), self.state()
-        self.edges[first].append((named, negated, last))
+        self.edges[first].append((charset, negated, last))
         return first, last
 
-    def escaped(self):
-        sign = self.peek()
-        if not sign:
-            self.fail("nothing stands after '\\'")
-        self.at += 1
-        return frozenset("0123456789") if sign == "d" else frozenset(sign)
+    def escape(self):
+        char = self.peek()
+        if not char:
+            self.reject("nothing to escape after '\\'")
+        self.position += 1
+        return frozenset("0123456789") if char == "d" else frozenset(char)
 
-    def members(self):
+    def char_class(self):
         negated = self.peek() == "^"
-        self.at += negated
-        named, first = set(), True
+        self.position += negated
+        charset, first = set(), True
         while first or self.peek() != "]":
             if not self.peek():
-                self.fail("'[' has no ']'")
+                self.reject("'[' has no ']'")
             first = False
-            sign = self.text[self.at]
-            self.at += 1
-            some = self.escaped() if sign == "\\" else frozenset(sign)
-            if self.peek() == "-" and self.text[self.at + 1 : self.at + 2] not in ("", "]") and len(some) == 1:
-                self.at += 1
-                end = self.text[self.at]
-                self.at += 1
-                if not 0 <= ord(end) - ord(min(some)) <= 4096:
-                    self.fail("a range that runs backwards or over 4096 signs")
-                some = frozenset(map(chr, range(ord(min(some)), ord(end) + 1)))
-            named |= some
-        self.at += 1
-        return frozenset(named), negated
-
-
-class Form:
-    """`matches(text)`: one look-up a character."""
-
-    __slots__ = ("text", "table", "accepts", "letters")
+            char = self.text[self.position]
+            self.position += 1
+            chars = self.escape() if char == "\\" else frozenset(char)
+            if (
+                self.peek() == "-"
+                and self.text[self.position + 1 : self.position + 2] not in ("", "]")
+                and len(chars) == 1
+            ):
+                self.position += 1
+                end = self.text[self.position]
+                self.position += 1
+                if not 0 <= ord(end) - ord(min(chars)) <= 4096:
+                    self.reject("a range that is reversed or spans more than 4096 characters")
+                chars = frozenset(map(chr, range(ord(min(chars)), ord(end) + 1)))
+            charset |= chars
+        self.position += 1
+        return frozenset(charset), negated
+
+
+class Pattern:
+    """A compiled pattern. `matches(text)` takes one table look-up per character."""
+
+    __slots__ = ("text", "table", "accepts", "columns_by_char")
 
     def __init__(self, text):
-        """Raises MatchError for a form that is none, or needs too many states."""
+        """Raises MatchError for a malformed pattern, or one that needs too many states."""
         self.text = text
         parser = _Parser(text)
-        if len(text) > LENGTH_MOST:
-            parser.fail(f"longer than {LENGTH_MOST} characters")
-        start, end = parser.either()
-        if parser.at < len(text):
-            parser.fail("')' has no '('")
-        letters = {c for edges in parser.edges for named, _, _ in edges if named for c in named}
-        if len(letters) > 5000:
-            parser.fail("names more than 5000 different signs")
-        groups = {}  # signs that no edge tells apart share a column
-        every = [(named, negated) for edges in parser.edges for named, negated, _ in edges if named is not None]
-        for c in (*sorted(letters), OTHER):
-            groups.setdefault(tuple((c in named) != negated for named, negated in every), []).append(c)
-        columns = {c: n for n, members in enumerate(groups.values()) for c in members}
-        picks = [members[0] for members in groups.values()]
-
-        def closed(states):
+        if len(text) > MAX_PATTERN_CHARS:
+            parser.reject(f"longer than {MAX_PATTERN_CHARS} characters")
+        start, end = parser.alternation()
+        if parser.position < len(text):
+            parser.reject("')' has no '('")
+        alphabet = {c for edges in parser.edges for charset, _, _ in edges if charset for c in charset}
+        if len(alphabet) > 5000:
+            parser.reject("names more than 5000 different characters")
+        groups = {}  # characters that no edge distinguishes share a column
+        edge_sets = [
+            (charset, negated) for edges in parser.edges for charset, negated, _ in edges if charset is not None
+        ]
+        for c in (*sorted(alphabet), OTHER):
+            groups.setdefault(tuple((c in charset) != negated for charset, negated in edge_sets), []).append(c)
+        column_of = {c: n for n, members in enumerate(groups.values()) for c in members}
+        representatives = [members[0] for members in groups.values()]
+
+        def epsilon_closure(states):
             seen = set(states)
-            left = list(seen)
-            while left:
-                for to in parser.empty[left.pop()]:
-                    if to not in seen:
-                        seen.add(to)
-                        left.append(to)
+            pending = list(seen)
+            while pending:
+                for target in parser.epsilon_edges[pending.pop()]:
+                    if target not in seen:
+                        seen.add(target)
+                        pending.append(target)
             return frozenset(seen)
 
-        first = closed([start])
-        numbers, order, table = {first: 0}, [first], []
+        first = epsilon_closure([start])
+        state_numbers, order, table = {first: 0}, [first], []
         for states in order:
             row = []
-            for c in picks:
-                reached = closed(
-                    to
+            for c in representatives:
+                reached = epsilon_closure(
+                    target
                     for s in states
-                    for named, negated, to in parser.edges[s]
-                    if named is None or (c in named) != negated
+                    for charset, negated, target in parser.edges[s]
+                    if charset is None or (c in charset) != negated
                 )
-                if reached not in numbers:
-                    if len(numbers) >= STATES_MOST:
-                        parser.fail(f"needs more than {STATES_MOST} states; write it simpler")
-                    numbers[reached] = len(order)
+                if reached not in state_numbers:
+                    if len(state_numbers) >= MAX_STATES:
+                        parser.reject(f"needs more than {MAX_STATES} states; simplify it")
+                    state_numbers[reached] = len(order)
                     order.append(reached)
-                row.append(numbers[reached])
+                row.append(state_numbers[reached])
             table.append(row)
         self.table, self.accepts = table, [end in states for states in order]
-        self.letters = columns
+        self.columns_by_char = column_of
 
     def matches(self, text):
-        state, table, letters, other = 0, self.table, self.letters, self.letters[OTHER]
+        state, table, columns, other = 0, self.table, self.columns_by_char, self.columns_by_char[OTHER]
         for c in text:
-            state = table[state][letters.get(c, other)]
+            state = table[state][columns.get(c, other)]
         return self.accepts[state]
--- a/thorndale/match/rules.py
+++ b/thorndale/match/rules.py
@@ -1,4 +1,5 @@
-"""Rule sets: read, checked, compiled whole; the first rule that fits, by priority and then by place, sorts the call.
+"""Rule sets, parsed, checked and compiled as a whole. The first rule that matches, by priority and then by position,
+classifies the call.
 
     set vip = ["+22177000001", "+22177000002"]
     table stations = {"+22133": "thies-1", "+2213": "dakar-1"}
@@ -12,9 +13,10 @@
     }
     default { type timetable group dakar-1 }
 
-A thousand rules are not tried one after another. From each condition that is a row of 'and's one test is taken out:
-of equality with a text, or of a prefix. All such tests of one value share a table, so that the value is worked out
-once and a look-up gives the few rules whose test holds; only these, and the rules without such a test, are tried.
+To avoid evaluating thousands of rules in sequence, rules are indexed. From each conjunction of tests one is indexed:
+equality with a text, or a prefix. All indexed tests of the same value share a table, so the value is evaluated once
+and a look-up gives the few rules whose indexed test holds. Only these, and the rules without an indexable test, are
+evaluated further.
 """
 
 from typing import NamedTuple
@@ -22,24 +24,27 @@
 from xxhash import xxh64_hexdigest, xxh64_intdigest
 
 from thorndale.match import parse
-from thorndale.match.check import STEPS_MOST, Checker, Scope, Table
+from thorndale.match.check import DEFAULT_MAX_STEPS, Checker, Scope, Table
 from thorndale.match.compile import Compiler
-from thorndale.match.faults import Fault, MatchError
+from thorndale.match.faults import Diagnostic, MatchError
 from thorndale.match.tree import TEXT, YESNO, Node
-from thorndale.match.walk import Walker
+from thorndale.match.walk import Interpreter
 from thorndale.sip.headers import is_token
 from thorndale.spelling import nearest
 
-RULES_MOST = 20_000
-ENTRIES_MOST = 200_000  # values of one set or table
-PRIORITY_MOST = 1_000_000
-WEIGHT_MOST = 10_000
-TOUCHED = frozenset(("via", "from", "to", "call-id", "cseq", "contact", "content-length", "route", "record-route"))
+MAX_RULES = 20_000
+MAX_ENTRIES = 200_000  # per set or table
+MAX_PRIORITY = 1_000_000
+MAX_WEIGHT = 10_000
+RESERVED_HEADERS = frozenset(
+    ("via", "from", "to", "call-id", "cseq", "contact", "content-length", "route", "record-route")
+)
 
 
 class Outcome(NamedTuple):
-    """What a call is: names as the settings have them. `group` '' means the call type's own first choice, `key` '' the
-    usual one over caller and number. `headers` are pairs to be set on the way out."""
+    """The classification of a call, by the names in the settings. An empty `group` means the first choice of the call
+    type, an empty `key` the default key of caller and number. `headers` are (name, value) pairs to set on the
+    outgoing INVITE."""
 
     rule: str
     call_type: str
@@ -51,7 +56,7 @@
 
 
 class Rule:
-    """One rule as it was read. `shares` are (group, weight) with `by`; `headers` (name, tree)."""
+    """One parsed rule. `shares` are (group, weight) pairs, selected by the hash of `by`; `headers` are (name, tree)."""
 
     __slots__ = (
         "name",
@@ -81,7 +86,7 @@
 
 
 class Names(NamedTuple):
-    """What a rule may name; None: anything."""
+    """The call types, trunk groups and clients that a rule may name; None allows any."""
 
     types: tuple | None = None
     groups: tuple | None = None
@@ -91,183 +96,189 @@
 ANYTHING = Names()
 
 
-def no_files(path, columns):
-    """Where nobody reads files: a set or table `from` one is a fault."""
+def reject_files(path, columns):
+    """The default reader, for sources without file access: reports a set or table `from` a file as an error."""
     raise ValueError("sets and tables from files cannot be read here")
 
 
-def load(source, names=ANYTHING, name="rules", steps_most=STEPS_MOST, read=no_files):
-    """A RuleSet. `read(path, columns)` gives the rows of a file, each that many texts, and raises an exception whose
-    text says what is wrong with it. Raises MatchError with every fault of the text."""
-    found = RuleSet(*_checked(parse.read(source, "start", name), source, names, name, steps_most, read))
+def load(source, names=ANYTHING, name="rules", max_steps=DEFAULT_MAX_STEPS, read=reject_files):
+    """Returns a RuleSet. `read(path, columns)` returns the rows of a file, each with that many texts, and raises an
+    exception with a description for a malformed file. Raises MatchError with every error of the text."""
+    found = RuleSet(*_checked(parse.read(source, "start", name), source, names, name, max_steps, read))
     found.digest = xxh64_hexdigest(source.encode("utf-8", "surrogateescape"))
     return found
 
 
-def _checked(tree, source, names, name, steps_most, read=no_files):
+def _checked(tree, source, names, name, max_steps, read=reject_files):
     scope = Scope()
-    checker = Checker(scope, steps_most)
-    rules, default, taken = [], None, {}
+    checker = Checker(scope, max_steps)
+    rules, default, defined_at = [], None, {}
 
-    def fault(at, text):
-        checker.faults.append(Fault(at.line, at.column, text))
+    def add_error(position, text):
+        checker.diagnostics.append(Diagnostic(position.line, position.column, text))
 
-    def fresh(token):
+    def declare(token):
         word = str(token)
-        if word in parse_names():
-            fault(token, f"{word!r} is a name of the language")
-        elif word in taken:
-            fault(token, f"{word!r} stands at line {taken[word]} already")
-        taken.setdefault(word, token.line)
+        if word in reserved_names():
+            add_error(token, f"{word!r} is a name of the language")
+        elif word in defined_at:
+            add_error(token, f"{word!r} is already defined at line {defined_at[word]}")
+        defined_at.setdefault(word, token.line)
         return word
 
-    def rows_of(token, columns):
+    def read_rows(token, columns):
         try:
-            found = read(parse.unescaped(token), columns)
-        except Exception as wrong:  # noqa: BLE001 - whatever the reader says is a fault of this line
-            fault(token, str(wrong))
+            found = read(parse.unescape(token), columns)
+        except Exception as error:  # noqa: BLE001 - any reader error is reported at this line
+            add_error(token, str(error))
             return []
-        if len(found) > ENTRIES_MOST:
-            fault(token, f"more than {ENTRIES_MOST} rows")
+        if len(found) > MAX_ENTRIES:
+            add_error(token, f"more than {MAX_ENTRIES} rows")
         return found
 
     for item in tree.children:
         if item.data == "set_file":
-            word = fresh(item.children[0])
-            scope.sets[word] = frozenset(row[0] for row in rows_of(item.children[1], 1))
+            word = declare(item.children[0])
+            scope.sets[word] = frozenset(row[0] for row in read_rows(item.children[1], 1))
         elif item.data == "table_file":
-            word, rows = fresh(item.children[0]), dict(rows_of(item.children[1], 2))
+            word, rows = declare(item.children[0]), dict(read_rows(item.children[1], 2))
             scope.tables[word] = Table(rows, tuple(sorted({len(p) for p in rows}, reverse=True)))
         elif item.data == "set_item":
-            word, values = fresh(item.children[0]), [parse.node(c) for c in item.children[1:]]
+            word, values = declare(item.children[0]), [parse.build_node(c) for c in item.children[1:]]
             for value in values:
                 checker.check(value)
             if len({v.type for v in values}) > 1:
-                odd = next(v for v in values if v.type != values[0].type)
-                fault(odd, f"a set holds values of one type: this is {odd.type}, the first {values[0].type}")
-            if len(values) > ENTRIES_MOST:
-                fault(item.children[0], f"more than {ENTRIES_MOST} values")
+                mismatched = next(v for v in values if v.type != values[0].type)
+                add_error(
+                    mismatched, f"a set holds values of one type: this is {mismatched.type}, the first {values[0].type}"
+                )
+            if len(values) > MAX_ENTRIES:
+                add_error(item.children[0], f"more than {MAX_ENTRIES} values")
             scope.sets[word] = frozenset(v.value for v in values)
         elif item.data == "table_item":
-            word, rows = fresh(item.children[0]), {}
+            word, rows = declare(item.children[0]), {}
             for entry in item.children[1:]:
-                prefix, value = (parse.unescaped(c) for c in entry.children)
+                prefix, value = (parse.unescape(c) for c in entry.children)
                 if prefix in rows:
-                    fault(entry.children[0], f"{prefix!r} stands in this table twice")
+                    add_error(entry.children[0], f"{prefix!r} appears twice in this table")
                 rows[prefix] = value
-            if len(rows) > ENTRIES_MOST:
-                fault(item.children[0], f"more than {ENTRIES_MOST} values")
+            if len(rows) > MAX_ENTRIES:
+                add_error(item.children[0], f"more than {MAX_ENTRIES} values")
             scope.tables[word] = Table(rows, tuple(sorted({len(p) for p in rows}, reverse=True)))
         elif item.data == "let_item":
-            word, value = fresh(item.children[0]), parse.node(item.children[1])
-            before = len(checker.faults)
+            word, value = declare(item.children[0]), parse.build_node(item.children[1])
+            before = len(checker.diagnostics)
             if any(n.kind == "name" and n.value == word for n in value):
-                fault(item.children[0], f"{word!r} names itself; a let may use only lets above it")
+                add_error(item.children[0], f"{word!r} refers to itself; a let may use only lets above it")
             else:
                 checker.check(value)
-            scope.lets[word] = value if len(checker.faults) == before else None
+            scope.lets[word] = value if len(checker.diagnostics) == before else None
         elif item.data == "rule_item":
-            rule = Rule(parse.unescaped(item.children[0]), item.children[0].line, item.children[0].column)
+            rule = Rule(parse.unescape(item.children[0]), item.children[0].line, item.children[0].column)
             key = ("rule", rule.name)
-            if key in taken:
-                fault(item.children[0], f"a rule {rule.name!r} stands at line {taken[key]} already")
-            taken.setdefault(key, rule.line)
-            _parts(rule, item.children[1:], item, checker, names, fault)
+            if key in defined_at:
+                add_error(item.children[0], f"a rule {rule.name!r} is already defined at line {defined_at[key]}")
+            defined_at.setdefault(key, rule.line)
+            _read_clauses(rule, item.children[1:], item, checker, names, add_error)
             if rule.when is None:
-                fault(item.children[0], "has no 'when'; a rule for all other calls is written default { ... }")
+                add_error(
+                    item.children[0], "has no 'when'; for a rule that matches all other calls write default { ... }"
+                )
             rules.append(rule)
         else:
             if default is not None:
-                fault(item.meta, f"a default stands at line {default.line} already")
+                add_error(item.meta, f"a default is already defined at line {default.line}")
             default = Rule("default", item.meta.line, item.meta.column)
-            _parts(default, item.children, item, checker, names, fault)
+            _read_clauses(default, item.children, item, checker, names, add_error)
             if default.when is not None:
-                fault(item.meta, "a default has no 'when'")
-    if len(rules) > RULES_MOST:
-        checker.faults.append(Fault(1, 1, f"{len(rules)} rules, {RULES_MOST} are allowed"))
-    if checker.faults:
-        raise MatchError(checker.faults, source, name)
-    rules.sort(key=lambda r: -r.priority)  # stable: equal ones stay in their order
+                add_error(item.meta, "a default cannot have a 'when'")
+    if len(rules) > MAX_RULES:
+        checker.diagnostics.append(Diagnostic(1, 1, f"{len(rules)} rules, the limit is {MAX_RULES}"))
+    if checker.diagnostics:
+        raise MatchError(checker.diagnostics, source, name)
+    rules.sort(key=lambda r: -r.priority)  # stable: rules of one priority keep their file order
     for n, rule in enumerate(rules):
         rule.order = n
     return rules, default, scope, name
 
 
-def parse_names():
+def reserved_names():
     from thorndale.match.functions import FUNCTIONS, NAMES
 
     return {*FUNCTIONS, *NAMES}
 
 
-def _word(tree):
+def _word_of(tree):
     token = tree.children[0]
-    return parse.unescaped(token) if token.startswith('"') else str(token), token
+    return parse.unescape(token) if token.startswith('"') else str(token), token
 
 
-def _parts(rule, parts, item, checker, names, fault):
+def _read_clauses(rule, clauses, item, checker, names, add_error):
     seen = set()
 
-    def known(tree, among, what):
-        word, token = _word(tree)
-        if among is not None and word not in among:
-            near = nearest(word, among)
-            fault(token, f"unknown {what} {word!r}" + (f"; {near!r} is meant?" if near else ""))
+    def check_name(tree, allowed, what):
+        word, token = _word_of(tree)
+        if allowed is not None and word not in allowed:
+            suggestion = nearest(word, allowed)
+            add_error(token, f"unknown {what} {word!r}" + (f"; {suggestion!r} is meant?" if suggestion else ""))
         return word
 
-    for part in parts:
-        kind = str(part.data)[:-5]
-        rival = {"group": "share", "share": "group"}.get(kind)
-        if kind in seen and kind != "header" or rival in seen:
-            fault(part.meta, f"{'group or share' if kind in ('group', 'share') else kind} stands in this rule already")
+    for clause in clauses:
+        kind = str(clause.data)[:-5]
+        exclusive_kind = {"group": "share", "share": "group"}.get(kind)
+        if kind in seen and kind != "header" or exclusive_kind in seen:
+            add_error(
+                clause.meta, f"{'group or share' if kind in ('group', 'share') else kind} is already given in this rule"
+            )
         seen.add(kind)
-        kids = part.children
+        nodes = clause.children
         if kind == "when":
-            rule.when = parse.node(kids[0])
+            rule.when = parse.build_node(nodes[0])
             checker.check(rule.when, YESNO, "'when'")
         elif kind == "priority":
-            rule.priority = float(kids[0])
-            if rule.priority != int(rule.priority) or rule.priority > PRIORITY_MOST:
-                fault(kids[0], f"a priority is a whole number up to {PRIORITY_MOST}")
+            rule.priority = float(nodes[0])
+            if rule.priority != int(rule.priority) or rule.priority > MAX_PRIORITY:
+                add_error(nodes[0], f"a priority is a whole number up to {MAX_PRIORITY}")
         elif kind == "type":
-            rule.call_type = known(kids[0], names.types, "call type")
+            rule.call_type = check_name(nodes[0], names.types, "call type")
         elif kind == "group":
-            rule.group = known(kids[0], names.groups, "trunk group")
+            rule.group = check_name(nodes[0], names.groups, "trunk group")
         elif kind == "client":
-            rule.client = known(kids[0], names.clients, "client")
+            rule.client = check_name(nodes[0], names.clients, "client")
         elif kind == "class":
-            rule.priority_class = _word(kids[0])[0]
+            rule.priority_class = _word_of(nodes[0])[0]
         elif kind == "key":
-            rule.key = parse.node(kids[0])
+            rule.key = parse.build_node(nodes[0])
             checker.check(rule.key, TEXT, "a key")
         elif kind == "share":
-            rule.by = parse.node(kids[0])
-            checker.check(rule.by, TEXT, "what is shared by")
-            for weight in kids[1:]:
-                word = known(weight.children[0], names.groups, "trunk group")
+            rule.by = parse.build_node(nodes[0])
+            checker.check(rule.by, TEXT, "the value of 'share by'")
+            for weight in nodes[1:]:
+                word = check_name(weight.children[0], names.groups, "trunk group")
                 number = float(weight.children[1]) if len(weight.children) > 1 else 1.0
-                if number != int(number) or not 1 <= number <= WEIGHT_MOST:
-                    fault(weight.children[1], f"a weight is a whole number from 1 to {WEIGHT_MOST}")
+                if number != int(number) or not 1 <= number <= MAX_WEIGHT:
+                    add_error(weight.children[1], f"a weight is a whole number from 1 to {MAX_WEIGHT}")
                 if word in [g for g, _ in rule.shares]:
-                    fault(weight.meta, f"{word!r} has a share already")
+                    add_error(weight.meta, f"{word!r} already has a share")
                 rule.shares.append((word, int(number)))
         else:
-            name = parse.unescaped(kids[0])
-            if not is_token(name) or name.lower() in TOUCHED:
-                fault(kids[0], f"{name!r} is no header that a rule may set")
-            value = parse.node(kids[1])
+            name = parse.unescape(nodes[0])
+            if not is_token(name) or name.lower() in RESERVED_HEADERS:
+                add_error(nodes[0], f"{name!r} is not a header that a rule may set")
+            value = parse.build_node(nodes[1])
             checker.check(value, TEXT, "a header's value")
             rule.headers.append((name, value))
     if not rule.call_type:
-        fault(item.children[0] if rule.name != "default" else item.meta, "has no 'type'")
+        add_error(item.children[0] if rule.name != "default" else item.meta, "has no 'type'")
 
 
 def conditions(tree):
-    """The tests that must all hold, from a tree of 'and's."""
+    """The tests of a conjunction, flattened from nested 'and' nodes."""
     return [c for arg in tree.args for c in conditions(arg)] if tree.kind == "and" else [tree]
 
 
-def test_of(condition):
-    """(kind, tree of the value, texts) of a test that can go into a table: 'is' or 'prefix'; else None."""
+def indexable_test(condition):
+    """(kind, tree of the value, texts) of an indexable test, where kind is 'is' or 'prefix'; else None."""
     kind, args = condition.kind, condition.args
     if kind == "compare" and condition.value == "==":
         for value, literal in ((args[0], args[1]), (args[1], args[0])):
@@ -287,70 +298,70 @@
 
 
 class RuleSet:
-    """A checked set in force. `sort(facts)` gives an Outcome, or None where no rule fits and there is no default."""
+    """A checked rule set. `sort(facts)` returns an Outcome, or None if no rule matches and there is no default."""
 
     def __init__(self, rules, default, scope, name="rules"):
         self.rules, self.default, self.scope, self.name = rules, default, scope, name
-        self.digest = ""  # of the text that it was made of, where there was one
-        self.broken = 0  # evaluations that failed all the same: the checker has a fault
+        self.digest = ""  # of the source text; empty if built without one
+        self.broken = 0  # evaluations that raised an exception, which means a defect in the checker
         self.last_fault = ""
         compiler = Compiler(scope, [t for rule in [*rules, *([default] if default else [])] for t in rule.trees()])
-        tables = {}  # (kind, identity of the value): [tree, {text: [order]}]
-        self.others, self.rests = [], []
+        tables = {}  # (kind, identity of the value): (tree, {text: [order]})
+        self.unindexed, self.residuals = [], []
         for rule in rules:
             tests = conditions(rule.when)
-            picked = self._pick(tests)
-            if picked is None:
-                self.others.append(rule.order)
+            indexed = self._pick_indexed(tests)
+            if indexed is None:
+                self.unindexed.append(rule.order)
             else:
-                kind, value, texts = test_of(picked)
+                kind, value, texts = indexable_test(indexed)
                 _, rows = tables.setdefault((kind, value.identity()), (value, {}))
                 for text in texts:
                     rows.setdefault(text, []).append(rule.order)
-            rest = [t for t in tests if t is not picked]
-            if not rest:
-                self.rests.append(None)
+            residual = [t for t in tests if t is not indexed]
+            if not residual:
+                self.residuals.append(None)
             else:
-                whole = rest[0] if len(rest) == 1 else self._row(rest)
-                self.rests.append(compiler.function(whole))
-        self.exact, self.prefixes = [], []
+                condition = residual[0] if len(residual) == 1 else self._conjunction(residual)
+                self.residuals.append(compiler.function(condition))
+        self.exact_indexes, self.prefix_indexes = [], []
         for (kind, _), (value, rows) in tables.items():
             run = compiler.function(value)
             if kind == "is":
-                self.exact.append((run, rows))
+                self.exact_indexes.append((run, rows))
             else:
-                self.prefixes.append((run, rows, sorted({len(t) for t in rows})))
+                self.prefix_indexes.append((run, rows, sorted({len(t) for t in rows})))
         self.actions = [self._action(rule, compiler) for rule in rules]
         self.default_action = self._action(default, compiler) if default else None
 
     @staticmethod
-    def _pick(tests):
-        """The test to be looked up: equality before prefix, the longest prefix."""
-        found = [(t, test_of(t)) for t in tests]
+    def _pick_indexed(tests):
+        """The test to index: equality before prefix, then the one with the longest text."""
+        found = [(t, indexable_test(t)) for t in tests]
         found = [(t, test) for t, test in found if test is not None]
         if not found:
             return None
         return max(found, key=lambda pair: (pair[1][0] == "is", len(pair[1][2][0])))[0]
 
     @staticmethod
-    def _row(tests):
-        made = Node("and", tests, None, tests[0].line, tests[0].column)
-        made.type, made.bound = YESNO, 1 + sum(t.bound for t in tests)
-        return made
+    def _conjunction(tests):
+        conjunction = Node("and", tests, None, tests[0].line, tests[0].column)
+        conjunction.type, conjunction.bound = YESNO, 1 + sum(t.bound for t in tests)
+        return conjunction
 
     @staticmethod
     def _action(rule, compiler):
-        fixed = Outcome(rule.name, rule.call_type, rule.group, rule.client, "", rule.priority_class, ())
+        base_outcome = Outcome(rule.name, rule.call_type, rule.group, rule.client, "", rule.priority_class, ())
         if rule.by is None and rule.key is None and not rule.headers:
-            return lambda facts: fixed
+            return lambda facts: base_outcome
         by = compiler.function(rule.by) if rule.by is not None else None
         key = compiler.function(rule.key) if rule.key is not None else None
         headers = [(name, compiler.function(tree)) for name, tree in rule.headers]
         total = sum(weight for _, weight in rule.shares)
 
         def run(facts):
-            group = shared(by(facts), rule.shares, total) if by else rule.group
-            return fixed._replace(
+            group = pick_by_hash(by(facts), rule.shares, total) if by else rule.group
+            return base_outcome._replace(
                 group=group,
                 key=key(facts) if key else "",
                 headers=tuple((name, value(facts)) for name, value in headers),
@@ -359,19 +370,19 @@
         return run
 
     def bound(self):
-        """Steps that no call can pass: every part of every rule once."""
+        """An upper bound on the steps of any call: every expression of every rule once."""
         return sum(tree.bound for rule in self.rules for tree in rule.trees()) + (
             sum(tree.bound for tree in self.default.trees()) if self.default else 0
         )
 
     def candidates(self, facts):
-        """Orders of the rules whose looked-up test holds, and of those without one, smallest first."""
+        """Positions of the rules whose indexed test holds and of the rules without one, in ascending order."""
         found = []
-        for run, rows in self.exact:
+        for run, rows in self.exact_indexes:
             orders = rows.get(run(facts))
             if orders:
                 found.append(orders)
-        for run, rows, lengths in self.prefixes:
+        for run, rows, lengths in self.prefix_indexes:
             text = run(facts)
             for length in lengths:
                 if length > len(text):
@@ -379,71 +390,73 @@
                 orders = rows.get(text[:length])
                 if orders:
                     found.append(orders)
-        if self.others:
-            found.append(self.others)
+        if self.unindexed:
+            found.append(self.unindexed)
         if len(found) == 1:
             return found[0]
         return sorted(order for orders in found for order in orders)
 
     def sort(self, facts):
-        """Never raises: where the checker missed something the call takes the default, and `broken` counts it."""
+        """Never raises: if evaluation fails, the call gets the default outcome and `broken` is incremented."""
         try:
             for order in self.candidates(facts):
-                rest = self.rests[order]
-                if rest is None or rest(facts):
+                residual = self.residuals[order]
+                if residual is None or residual(facts):
                     return self.actions[order](facts)
-        except Exception as fault:  # noqa: BLE001 - guards against a hole in the checker, whatever it is
+        except Exception as error:  # noqa: BLE001 - a defect in the checker must not lose the call
             self.broken += 1
-            self.last_fault = repr(fault)
+            self.last_fault = repr(error)
         return self.default_action(facts) if self.default_action else None
 
     def explain(self, facts):
-        """What the plain interpreter sees, rule by rule up to the first that fits: a list of (rule, fits,
-        [(line, column, kind, value)]), and the outcome. For people; slow."""
+        """Evaluates the rules one by one with the interpreter, up to the first that matches. Returns a list of (rule,
+        matches, [(line, column, kind, value)]) and the outcome. Slow; for diagnostics."""
         tried = []
         for rule in self.rules:
-            parts = []
-            walker = Walker(
+            values = []
+            interpreter = Interpreter(
                 self.scope,
                 facts,
-                lambda node, value, parts=parts: parts.append((node.line, node.column, node.kind, value)),
+                lambda node, value, values=values: values.append((node.line, node.column, node.kind, value)),
             )
-            fits = walker.value(rule.when)
-            tried.append((rule, fits, parts))
+            fits = interpreter.value(rule.when)
+            tried.append((rule, fits, values))
             if fits:
-                return tried, walked(rule, self.scope, facts)
-        return tried, walked(self.default, self.scope, facts) if self.default else None
+                return tried, interpret_rule(rule, self.scope, facts)
+        return tried, interpret_rule(self.default, self.scope, facts) if self.default else None
 
 
-def shared(text, shares, total):
-    """The group of a text by hash: the same for the same text, in the parts that the weights say."""
-    left = xxh64_intdigest(text.encode("utf-8", "surrogateescape")) % total
+def pick_by_hash(text, shares, total):
+    """Selects a group by the hash of a text, in proportion to the weights; the same text gives the same group."""
+    offset = xxh64_intdigest(text.encode("utf-8", "surrogateescape")) % total
     for group, weight in shares:
-        if left < weight:
+        if offset < weight:
             return group
-        left -= weight
+        offset -= weight
     return shares[-1][0]
 
 
-def walked(rule, scope, facts):
-    """The outcome of a rule by the plain interpreter."""
-    walker = Walker(scope, facts)
-    group = shared(walker.value(rule.by), rule.shares, sum(w for _, w in rule.shares)) if rule.by else rule.group
+def interpret_rule(rule, scope, facts):
+    """The outcome of a rule, evaluated by the interpreter."""
+    interpreter = Interpreter(scope, facts)
+    group = (
+        pick_by_hash(interpreter.value(rule.by), rule.shares, sum(w for _, w in rule.shares)) if rule.by else rule.group
+    )
     return Outcome(
         rule.name,
         rule.call_type,
         group,
         rule.client,
-        walker.value(rule.key) if rule.key else "",
+        interpreter.value(rule.key) if rule.key else "",
         rule.priority_class,
-        tuple((name, walker.value(tree)) for name, tree in rule.headers),
+        tuple((name, interpreter.value(tree)) for name, tree in rule.headers),
     )
 
 
 def plain(rules, facts):
-    """What the set must do, rules tried one after another by the plain interpreter: outcome, steps."""
-    walker = Walker(rules.scope, facts)
+    """Reference for `sort`: evaluates the rules in sequence with the interpreter. Returns (outcome, steps)."""
+    interpreter = Interpreter(rules.scope, facts)
     for rule in rules.rules:
-        if walker.value(rule.when):
-            return walked(rule, rules.scope, facts), walker.steps
-    return (walked(rules.default, rules.scope, facts) if rules.default else None), walker.steps
+        if interpreter.value(rule.when):
+            return interpret_rule(rule, rules.scope, facts), interpreter.steps
+    return (interpret_rule(rules.default, rules.scope, facts) if rules.default else None), interpreter.steps
--- a/thorndale/match/tables.py
+++ b/thorndale/match/tables.py
@@ -1,14 +1,15 @@
-"""Writes grammar.tables beside the grammar: `python -m thorndale.match.tables`, after each change of either."""
+"""Writes the parser tables to grammar.tables: run `python -m thorndale.match.tables` after each change of the grammar
+or the lark version."""
 
 from pathlib import Path
 
-from thorndale.match.parse import built
+from thorndale.match.parse import parser_builder
 
 
 def main():
-    build, seal = built()
+    build, fingerprint = parser_builder()
     with open(Path(__file__).with_name("grammar.tables"), "wb") as file:
-        file.write(seal)
+        file.write(fingerprint)
         build().save(file)
 
 
--- a/thorndale/match/walk.py
+++ b/thorndale/match/walk.py
@@ -1,9 +1,9 @@
-"""The plain interpreter: walks the tree and counts its steps. What the compiled form must agree with, and what tells
-why a rule did or did not fit."""
+"""Tree-walking interpreter that counts its steps. It is the reference that compiled functions must agree with, and it
+explains why a rule did or did not match."""
 
 import operator
 
-from thorndale.match.functions import FUNCTIONS, NAMES, PARTS, prepared, units
+from thorndale.match.functions import FUNCTIONS, NAMES, URI_PARTS, prepare_literals, text_steps
 from thorndale.match.tree import Node
 
 COMPARE = {
@@ -20,17 +20,18 @@
     return len(value) if isinstance(value, (str, list)) else 0
 
 
-class Walker:
-    """`scope` holds sets, tables and lets; `steps` counts over all calls of `value`; `seen` is told each value."""
+class Interpreter:
+    """`scope` holds sets, tables and lets; `steps` accumulates over all calls of `value`; `on_value(node, value)` is
+    called with each evaluated node."""
 
-    def __init__(self, scope, facts, seen=None):
-        self.scope, self.facts, self.steps, self.seen = scope, facts, 0, seen
+    def __init__(self, scope, facts, on_value=None):
+        self.scope, self.facts, self.steps, self.on_value = scope, facts, 0, on_value
 
     def value(self, node):
-        found = getattr(self, f"_{node.kind}")(node)
-        if self.seen is not None:
-            self.seen(node, found)
-        return found
+        result = getattr(self, f"_{node.kind}")(node)
+        if self.on_value is not None:
+            self.on_value(node, result)
+        return result
 
     def _literal(self, node):
         self.steps += 1
@@ -38,37 +39,39 @@
 
     def _name(self, node):
         if node.value in NAMES:
-            found = NAMES[node.value][4](self.facts)
+            result = NAMES[node.value][4](self.facts)
             if node.value == "transport":
                 self.steps += 1
             else:
                 text = self.facts.invite.get("from") if node.value.startswith("caller") else self.facts.invite.uri
-                self.steps += min(NAMES[node.value][2], 2 + (5 if isinstance(found, str) else 4) * units(len(text)))
-            return found
+                self.steps += min(
+                    NAMES[node.value][2], 2 + (5 if isinstance(result, str) else 4) * text_steps(len(text))
+                )
+            return result
         self.steps += 1
         return self.value(self.scope.lets[node.value])
 
     def _part(self, node):
-        found = self.value(node.args[0])
+        result = self.value(node.args[0])
         self.steps += 1
-        return PARTS[node.value][2](found)
+        return URI_PARTS[node.value][2](result)
 
     def _call(self, node):
         function = FUNCTIONS[node.value]
         if node.value == "longest":
             text, table = self.value(node.args[0]), self.scope.tables[node.args[1].value]
-            self.steps += 1 + sum(1 + units(n) for n in table.lengths)
+            self.steps += 1 + sum(1 + text_steps(n) for n in table.lengths)
             return function.run(self.facts, text, table)
         values = [self.value(a) for a in node.args]
         if node.value in ("header", "headers"):
             fields = self.facts.invite.fields
             self.steps += min(
                 function.cost([0]),
-                len(fields) + units(sum(len(v) for k, _, v in fields if k == node.args[0].value.lower())),
+                len(fields) + text_steps(sum(len(v) for k, _, v in fields if k == node.args[0].value.lower())),
             )
         else:
             self.steps += function.cost([size(v) for v in values])
-        return function.run(self.facts, *(prepared(function, values) if function.make else values))
+        return function.run(self.facts, *(prepare_literals(function, values) if function.literal_kind else values))
 
     def _list(self, node):
         self.steps += 1
@@ -91,35 +94,35 @@
         return not self.value(node.args[0])
 
     def _compare(self, node):
-        one, two = (self.value(a) for a in node.args)
-        self.steps += 1 + units(min(size(one), size(two)))
-        return COMPARE[node.value](one, two)
+        left, right = (self.value(a) for a in node.args)
+        self.steps += 1 + text_steps(min(size(left), size(right)))
+        return COMPARE[node.value](left, right)
 
     def _in(self, node):
-        found = self.value(node.args[0])
+        result = self.value(node.args[0])
         if node.value is not None:
-            self.steps += 1 + units(size(found))
-            return found in self.scope.sets[node.value]
-        among = self.value(node.args[1])
-        written = node.args[1].kind == "list" and all(a.kind == "literal" for a in node.args[1].args)
-        self.steps += 1 + (1 if written else max(1, len(among))) * (1 + units(size(found)))
-        return found in among
+            self.steps += 1 + text_steps(size(result))
+            return result in self.scope.sets[node.value]
+        container = self.value(node.args[1])
+        all_literal = node.args[1].kind == "list" and all(a.kind == "literal" for a in node.args[1].args)
+        self.steps += 1 + (1 if all_literal else max(1, len(container))) * (1 + text_steps(size(result)))
+        return result in container
 
     def _other(self, node):
         self.steps += 1
         for arg in node.args:
-            found = self.value(arg)
-            if found is not None:
-                return found
+            result = self.value(arg)
+            if result is not None:
+                return result
         return None
 
     def _sum(self, node):
-        one, two = (self.value(a) for a in node.args)
-        self.steps += 1 + units(size(one) + size(two))
-        return one + two if node.value == "+" else one - two
+        left, right = (self.value(a) for a in node.args)
+        self.steps += 1 + text_steps(size(left) + size(right))
+        return left + right if node.value == "+" else left - right
 
 
-def constant(node):
+def is_constant(node):
     """Whether the value is the same for every message."""
     return all(
         n.kind != "name"
@@ -129,15 +132,20 @@
     )
 
 
-def folded(node, scope):
-    """The tree with each constant part worked out once."""
+def fold_constants(node, scope):
+    """A copy of the tree with each constant subexpression replaced by a literal."""
     if node.kind == "literal":
         return node
-    made = Node(node.kind, [folded(a, scope) for a in node.args], node.value, node.line, node.column)
-    made.type, made.most, made.bound = node.type, node.most, node.bound
-    if constant(made) and made.kind != "list" and made.type is not None and made.type.kind != "uri":
-        value = Walker(scope, None).value(made)
+    folded_node = Node(node.kind, [fold_constants(a, scope) for a in node.args], node.value, node.line, node.column)
+    folded_node.type, folded_node.max_size, folded_node.bound = node.type, node.max_size, node.bound
+    if (
+        is_constant(folded_node)
+        and folded_node.kind != "list"
+        and folded_node.type is not None
+        and folded_node.type.kind != "uri"
+    ):
+        value = Interpreter(scope, None).value(folded_node)
         if value is not None:
-            made = Node("literal", (), value, node.line, node.column)
-            made.type, made.most, made.bound = node.type, size(value), 1
-    return made
+            folded_node = Node("literal", (), value, node.line, node.column)
+            folded_node.type, folded_node.max_size, folded_node.bound = node.type, size(value), 1
+    return folded_node
