--- a/bench/rules.py
+++ b/bench/rules.py
@@ -11,7 +11,7 @@
 from bench.calls import cpu, settings, spawn, start_proxy
 from thorndale.match import parse
 from thorndale.match.facts import Facts
-from thorndale.match.rules import ANYTHING, RuleSet, _checked, plain
+from thorndale.match.rules import ANY_NAMES, RuleSet, check_rules, interpret_rules
 from thorndale.sip import message as m
 from thorndale.standins.ports import reserve_port
 
@@ -51,7 +51,7 @@
     at = [time.perf_counter()]
     tree = parse.read(text)
     at.append(time.perf_counter())
-    checked = _checked(tree, text, ANYTHING, "rules", 50_000)
+    checked = check_rules(tree, text, ANY_NAMES, "rules", 50_000)
     at.append(time.perf_counter())
     made = RuleSet(*checked)
     at.append(time.perf_counter())
@@ -63,12 +63,12 @@
     numbers = [invite(f"+2217{n:05d}123") for n in range(0, 1000, 37)]
     began = time.perf_counter()
     for n in range(times):
-        made.sort(Facts(numbers[n % len(numbers)]))
+        made.classify(Facts(numbers[n % len(numbers)]))
     quick = (time.perf_counter() - began) / times
     rounds = max(3, min(200, 200_000 // (len(made.rules) + 1)))
     began = time.perf_counter()
     for n in range(rounds):
-        plain(made, Facts(numbers[n % len(numbers)]))
+        interpret_rules(made, Facts(numbers[n % len(numbers)]))
     return quick * 1e6, (time.perf_counter() - began) / rounds * 1e6
 
 
--- a/tests/config/test_lists.py
+++ b/tests/config/test_lists.py
@@ -4,7 +4,7 @@
 from match.test_expressions import facts
 
 from thorndale.config.lists import ListError, reader
-from thorndale.match.faults import MatchError
+from thorndale.match.errors import MatchError
 from thorndale.match.rules import load
 
 RULES = (
@@ -27,8 +27,8 @@
     for number in ("+22133000111", "+221700001", "+33"):
         for caller in ("+221770000001", "+1"):
             given = facts(number=number, caller=caller)
-            assert csv.sort(given) == yaml.sort(given)
-            seen.add(csv.sort(given).rule)
+            assert csv.classify(given) == yaml.classify(given)
+            seen.add(csv.classify(given).rule)
     assert seen == {"v", "s", "default"}
 
 
@@ -62,4 +62,4 @@
         load(
             f'\n{"set" if columns == 1 else "table"} x from "{name}"\ndefault {{ type t }}', read=reader(str(tmp_path))
         )
-    assert caught.value.faults[0].line == 2 and text in caught.value.faults[0].text
+    assert caught.value.diagnostics[0].line == 2 and text in caught.value.diagnostics[0].text
--- a/tests/match/test_deep.py
+++ b/tests/match/test_analysis.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from thorndale.match.deep import Analysis
+from thorndale.match.analysis import Analysis
 from thorndale.match.rules import load
 
 
--- a/tests/match/test_expressions.py
+++ b/tests/match/test_expressions.py
@@ -10,11 +10,11 @@
 
 from thorndale.match.check import Checker, Scope, Table
 from thorndale.match.compile import Compiler
+from thorndale.match.errors import MatchError
 from thorndale.match.facts import Facts
-from thorndale.match.faults import MatchError
 from thorndale.match.functions import FUNCTIONS
+from thorndale.match.interpreter import Interpreter
 from thorndale.match.parse import parse_expression
-from thorndale.match.walk import Interpreter
 from thorndale.sip import message as m
 
 RIG = Rig()
@@ -302,7 +302,7 @@
     with pytest.raises(MatchError) as caught:
         checked(text)
     assert BAD[text] in str(caught.value), str(caught.value)
-    assert caught.value.faults[0].line == 1 and caught.value.faults[0].column >= 1
+    assert caught.value.diagnostics[0].line == 1 and caught.value.diagnostics[0].column >= 1
 
 
 def test_list_of_bad_expressions_is_large():
--- a/tests/match/test_fmt.py
+++ b/tests/match/test_fmt.py
@@ -7,14 +7,14 @@
 from match.test_expressions import EXPRESSIONS, GOOD
 from match.test_rule_sets import random_rules
 
-from thorndale.match.faults import MatchError
-from thorndale.match.fmt import comments, formatted, structure
+from thorndale.match.errors import MatchError
+from thorndale.match.fmt import comments, format_source, structure
 from thorndale.match.parse import read
 
 
 def assert_round_trip(source):
-    text = formatted(source)
-    assert structure(read(text)) == structure(read(source)) and formatted(text) == text
+    text = format_source(source)
+    assert structure(read(text)) == structure(read(source)) and format_source(text) == text
     assert sorted(c[1] for c in comments(text)) == sorted(c[1] for c in comments(source))
     return text
 
@@ -62,4 +62,4 @@
 
 def test_invalid_rule_set_is_rejected():
     with pytest.raises(MatchError):
-        formatted("rule {")
+        format_source("rule {")
--- a/tests/match/test_rule_sets.py
+++ b/tests/match/test_rule_sets.py
@@ -6,14 +6,14 @@
 from match.test_expressions import facts
 
 from thorndale.call.forwarding import header_safe_text
-from thorndale.match.faults import MatchError
-from thorndale.match.rules import Names, Outcome, RuleSet, load, plain
+from thorndale.match.errors import MatchError
+from thorndale.match.rules import AllowedNames, Outcome, RuleSet, interpret_rules, load
 
-NAMES = Names(("timetable", "leaving-soon"), ("a", "b", "c"), ("coaches",))
+NAMES = AllowedNames(("timetable", "leaving-soon"), ("a", "b", "c"), ("coaches",))
 
 
 def matching_rule(source, given):
-    result = load(source).sort(given)
+    result = load(source).classify(given)
     return result.rule if result else None
 
 
@@ -39,7 +39,7 @@
     )
     rule_set = load(rules)
     for number, group in (("+22133", "g2213"), ("+9", "g9"), ("+99", "g99"), ("+100009", "g10000"), ("+0", None)):
-        result = rule_set.sort(facts(number=number))
+        result = rule_set.classify(facts(number=number))
         assert (result.group if result else None) == group
     assert len(rule_set.candidates(facts(number="+22133000111"))) == 4
 
@@ -47,7 +47,7 @@
 def test_outcomes():
     source = """rule "all" { when yes type timetable share by caller [a: 3, b] client coaches key "k" + number class gold
                 header "X-One" = lower(caller) + "!" header "X-Two" = header("X-None") ?? "none" }"""
-    result = load(source, NAMES).sort(facts())
+    result = load(source, NAMES).classify(facts())
     assert result == Outcome(
         "all",
         "timetable",
@@ -58,7 +58,7 @@
         (("X-One", "+221771234567!"), ("X-Two", "none")),
     )
     rule_set = load(source, NAMES)
-    groups = [rule_set.sort(facts(caller=f"+22177{n:07d}")).group for n in range(2_000)]
+    groups = [rule_set.classify(facts(caller=f"+22177{n:07d}")).group for n in range(2_000)]
     assert 0.70 < groups.count("a") / len(groups) < 0.80
     assert header_safe_text(" a\r\nVia: x\0 ") == "a  Via: x"
 
@@ -86,7 +86,7 @@
 def test_all_errors_of_a_file_at_once_by_line_and_column():
     with pytest.raises(MatchError) as caught:
         load(INVALID_RULES, NAMES, "day.rules")
-    result = [(f.line, f.text) for f in caught.value.faults]
+    result = [(f.line, f.text) for f in caught.value.diagnostics]
     for line, text in (
         (1, "values of one type"),
         (2, "already defined at line 1"),
@@ -129,7 +129,7 @@
         try:
             rule_set = load(source[:end])
         except MatchError as bad:
-            assert bad.faults
+            assert bad.diagnostics
             continue
         shorter_sets += len(rule_set.rules) < 3
     assert shorter_sets > 0  # truncation between two rules is not detectable from the text alone; docs/rules.md says so
@@ -173,9 +173,9 @@
                 number=f"+{rng.choice(['22', '2', '3', ''])}{rng.randrange(10_000)}",
                 caller=f"+2217{rng.randrange(100)}",
             )
-            expected, steps = plain(rule_set, given)
+            expected, steps = interpret_rules(rule_set, given)
             given.slots = {}
-            assert rule_set.sort(given) == expected and rule_set.broken == 0
+            assert rule_set.classify(given) == expected and rule_set.evaluation_errors == 0
             assert steps <= rule_set.bound()
             compared += 1
     assert compared == 1500
@@ -188,7 +188,11 @@
         raise ZeroDivisionError("a defect in the checker")
 
     rule_set.residuals[0] = raise_error
-    assert rule_set.sort(facts()).rule == "default" and rule_set.broken == 1 and "defect" in rule_set.last_fault
+    assert (
+        rule_set.classify(facts()).rule == "default"
+        and rule_set.evaluation_errors == 1
+        and "defect" in rule_set.last_error
+    )
 
 
 def test_explain_reports_each_value():
--- a/thorndale/call/border.py
+++ b/thorndale/call/border.py
@@ -436,11 +436,11 @@
             self._refuse_invite(now, tx, 483, "too many hops")
             return
         try:
-            broken_before = self.classifier.rules.broken
+            broken_before = self.classifier.rules.evaluation_errors
             classified = self.classifier.classify(invite, now + self.wall_offset_us, tx.hop.transport)
-            if self.classifier.rules.broken != broken_before:
+            if self.classifier.rules.evaluation_errors != broken_before:
                 self.count["rules broke"] += 1
-                self.log("warning", "a rule broke, the default was taken", fault=self.classifier.rules.last_fault[:200])
+                self.log("warning", "a rule broke, the default was taken", fault=self.classifier.rules.last_error[:200])
             if classified is None:
                 self.count["no rule fits"] += 1
                 self.log("warning", "no rule fits the call", to=mask_number(invite.uri.partition("@")[0]))
--- a/thorndale/call/sort.py
+++ b/thorndale/call/sort.py
@@ -48,7 +48,7 @@
         """A ClassifiedCall, or None if no rule matches. Raises SipError for a malformed Request-URI."""
         uri = parse_uri(invite.uri)
         facts = Facts(invite, wall_us, transport)
-        outcome = self.rules.sort(facts)
+        outcome = self.rules.classify(facts)
         if outcome is None:
             return None
         kind = self.types[outcome.call_type]
--- a/thorndale/cli/explain.py
+++ b/thorndale/cli/explain.py
@@ -8,9 +8,9 @@
 
 from thorndale.config.load import ConfigError, shaped
 from thorndale.daemon.book_file import replace
+from thorndale.match.errors import MatchError
 from thorndale.match.facts import Facts
-from thorndale.match.faults import MatchError
-from thorndale.match.fmt import formatted
+from thorndale.match.fmt import format_source
 from thorndale.sip import message as m
 from thorndale.sip.errors import SipError
 
@@ -98,7 +98,7 @@
     wrong = 0
     for n, example in enumerate(msgspec.convert(raw, list[Example])):
         given = facts_of(invite(example.number, example.caller, example.headers.items()), example.wall_s * 1_000_000)
-        found = rules.sort(given)
+        found = rules.classify(given)
         if found is None or not example.fits:
             held = (found is None) == (not example.fits)
         else:
@@ -118,7 +118,7 @@
     try:
         with open(path, encoding="utf-8") as file:
             source = file.read()
-        text = formatted(source, path)
+        text = format_source(source, path)
     except (OSError, UnicodeDecodeError, MatchError) as fault:
         say(f"{path}: {fault}", err=True)
         return 2
--- a/thorndale/cli/main.py
+++ b/thorndale/cli/main.py
@@ -61,7 +61,7 @@
         if code:
             raise typer.Exit(code)
     if deep:
-        from thorndale.match.deep import Analysis
+        from thorndale.match.analysis import Analysis
 
         for finding in Analysis(rules, seconds).all():
             call = f"; for example {finding.example}" if finding.example else ""
--- a/thorndale/config/load.py
+++ b/thorndale/config/load.py
@@ -10,8 +10,8 @@
 
 from thorndale.config.lists import reader
 from thorndale.config.settings import Settings
-from thorndale.match.faults import MatchError
-from thorndale.match.rules import Names
+from thorndale.match.errors import MatchError
+from thorndale.match.rules import AllowedNames
 from thorndale.match.rules import load as load_rules
 from thorndale.sip.dialog import hop_of
 from thorndale.sip.errors import SipError
@@ -74,7 +74,7 @@
 def matching(settings, path):
     """The RuleSet that the settings name. `path` is the settings file's. Raises ConfigError, each fault with its line
     and a caret."""
-    names = Names(
+    names = AllowedNames(
         tuple(t.name for t in settings.call_types),
         tuple(g.name for g in settings.trunk_groups),
         tuple(c.name for c in settings.clients),
@@ -93,7 +93,7 @@
         folder = os.path.dirname(where if settings.matching.file else str(path))
         return load_rules(text, names, where, settings.matching.steps, reader(folder))
     except MatchError as bad:
-        fault = ConfigError(where, [f"{f.line}:{f.column}: {f.text}" for f in bad.faults])
+        fault = ConfigError(where, [f"{f.line}:{f.column}: {f.text}" for f in bad.diagnostics])
         fault.shown = str(bad)
         raise fault from None
 
--- a/thorndale/match/deep.py
+++ b/thorndale/match/analysis.py
@@ -216,7 +216,7 @@
         try:
             message = m.parse("\r\n".join(lines).encode("utf-8", "surrogateescape") + b"\r\n\r\n")
             m.check(message)
-            found = self.rules.sort(Facts(message))
+            found = self.rules.classify(Facts(message))
         except SipError:
             return None
         return found.rule if found else ""
--- a/thorndale/match/check.py
+++ b/thorndale/match/check.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from thorndale.match.faults import Diagnostic
+from thorndale.match.errors import Diagnostic
 from thorndale.match.functions import FUNCTIONS, NAMES, URI_PARTS, text_steps
 from thorndale.match.tree import LIST, NUMBER, SPAN, TEXT, YESNO, Node, Type
 from thorndale.spelling import nearest
@@ -199,13 +199,15 @@
         return function.result_type
 
     def _form(self, node):
-        from thorndale.match.faults import MatchError
-        from thorndale.match.forms import Pattern
+        from thorndale.match.errors import MatchError
+        from thorndale.match.patterns import Pattern
 
         try:
             Pattern(node.value)
         except MatchError as error:
-            self.add_error(node, f"invalid pattern: {error.faults[0].text} (at its character {error.faults[0].column})")
+            self.add_error(
+                node, f"invalid pattern: {error.diagnostics[0].text} (at its character {error.diagnostics[0].column})"
+            )
             return False
         return True
 
--- a/thorndale/match/compile.py
+++ b/thorndale/match/compile.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from thorndale.match.functions import FUNCTIONS, NAMES, URI_PARTS, prepare_literals
-from thorndale.match.walk import fold_constants, is_constant
+from thorndale.match.interpreter import fold_constants, is_constant
 
 SHARE_MIN_STEPS = 4  # below this, caching a subexpression costs more than evaluating it again
 INLINE_TEMPLATES = {
--- a/thorndale/match/faults.py
+++ b/thorndale/match/errors.py
@@ -12,16 +12,16 @@
 
 
 class MatchError(Exception):
-    """A text with errors. `faults` is a list of Diagnostic, sorted by position."""
+    """A text with errors. `diagnostics` is a list of Diagnostic, sorted by position."""
 
-    def __init__(self, faults, source="", name="rules"):
-        self.faults, self.source, self.name = sorted(faults), source, name
+    def __init__(self, diagnostics, source="", name="rules"):
+        self.diagnostics, self.source, self.name = sorted(diagnostics), source, name
         super().__init__(self.show())
 
     def show(self):
         """Formats each diagnostic as `name:line:column: text`, followed by its source line and a caret."""
         lines, out = self.source.split("\n"), []
-        for diagnostic in self.faults:
+        for diagnostic in self.diagnostics:
             out.append(f"{self.name}:{diagnostic.line}:{diagnostic.column}: {diagnostic.text}")
             if 0 < diagnostic.line <= len(lines):
                 line = lines[diagnostic.line - 1]
--- a/thorndale/match/fmt.py
+++ b/thorndale/match/fmt.py
@@ -2,14 +2,14 @@
 
 from lark import Token
 
-from thorndale.match.faults import MatchError
+from thorndale.match.errors import MatchError
 from thorndale.match.parse import read
 
 MAX_COLUMNS = 100  # longer lists are split over lines
 PRECEDENCE = {"choice": 0, "or_expr": 1, "and_expr": 2, "negation": 3, "compare": 4, "inside": 4, "other": 5, "sum": 6}
 
 
-def formatted(source, name="rules"):
+def format_source(source, name="rules"):
     """Returns the text in canonical layout. Raises MatchError if it is not a valid rule set."""
     tree = read(source, "start", name)
     pending, lines = comments(source), source.split("\n")
--- a/thorndale/match/functions.py
+++ b/thorndale/match/functions.py
@@ -325,7 +325,7 @@
 
 def prepare_literals(function, values):
     """Converts the literal arguments to the values that `run` takes."""
-    from thorndale.match.forms import Pattern
+    from thorndale.match.patterns import Pattern
 
     if function.literal_kind == "form":
         return [values[0], Pattern(values[1])]
--- a/thorndale/match/parse.py
+++ b/thorndale/match/parse.py
@@ -10,7 +10,7 @@
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 from xxhash import xxh3_64_digest
 
-from thorndale.match.faults import Diagnostic, MatchError
+from thorndale.match.errors import Diagnostic, MatchError
 from thorndale.match.tree import Node
 
 MAX_SOURCE_CHARS = 8 << 20  # enough for about 20,000 rules
--- a/thorndale/match/forms.py
+++ b/thorndale/match/patterns.py
@@ -5,7 +5,7 @@
 and the steps by the length of the text.
 """
 
-from thorndale.match.faults import Diagnostic, MatchError
+from thorndale.match.errors import Diagnostic, MatchError
 
 MAX_STATES = 400  # DFA states per pattern; a pattern that needs more is rejected
 MAX_PATTERN_CHARS = 300
--- a/thorndale/match/rules.py
+++ b/thorndale/match/rules.py
@@ -26,9 +26,9 @@
 from thorndale.match import parse
 from thorndale.match.check import DEFAULT_MAX_STEPS, Checker, Scope, Table
 from thorndale.match.compile import Compiler
-from thorndale.match.faults import Diagnostic, MatchError
+from thorndale.match.errors import Diagnostic, MatchError
+from thorndale.match.interpreter import Interpreter
 from thorndale.match.tree import TEXT, YESNO, Node
-from thorndale.match.walk import Interpreter
 from thorndale.sip.headers import is_token
 from thorndale.spelling import nearest
 
@@ -85,7 +85,7 @@
         return [t for t in (self.when, self.by, self.key, *(tree for _, tree in self.headers)) if t is not None]
 
 
-class Names(NamedTuple):
+class AllowedNames(NamedTuple):
     """The call types, trunk groups and clients that a rule may name; None allows any."""
 
     types: tuple | None = None
@@ -93,7 +93,7 @@
     clients: tuple | None = None
 
 
-ANYTHING = Names()
+ANY_NAMES = AllowedNames()
 
 
 def reject_files(path, columns):
@@ -101,15 +101,15 @@
     raise ValueError("sets and tables from files cannot be read here")
 
 
-def load(source, names=ANYTHING, name="rules", max_steps=DEFAULT_MAX_STEPS, read=reject_files):
+def load(source, names=ANY_NAMES, name="rules", max_steps=DEFAULT_MAX_STEPS, read=reject_files):
     """Returns a RuleSet. `read(path, columns)` returns the rows of a file, each with that many texts, and raises an
     exception with a description for a malformed file. Raises MatchError with every error of the text."""
-    found = RuleSet(*_checked(parse.read(source, "start", name), source, names, name, max_steps, read))
+    found = RuleSet(*check_rules(parse.read(source, "start", name), source, names, name, max_steps, read))
     found.digest = xxh64_hexdigest(source.encode("utf-8", "surrogateescape"))
     return found
 
 
-def _checked(tree, source, names, name, max_steps, read=reject_files):
+def check_rules(tree, source, names, name, max_steps, read=reject_files):
     scope = Scope()
     checker = Checker(scope, max_steps)
     rules, default, defined_at = [], None, {}
@@ -298,13 +298,13 @@
 
 
 class RuleSet:
-    """A checked rule set. `sort(facts)` returns an Outcome, or None if no rule matches and there is no default."""
+    """A checked rule set. `classify(facts)` returns an Outcome, or None if no rule matches and there is no default."""
 
     def __init__(self, rules, default, scope, name="rules"):
         self.rules, self.default, self.scope, self.name = rules, default, scope, name
         self.digest = ""  # of the source text; empty if built without one
-        self.broken = 0  # evaluations that raised an exception, which means a defect in the checker
-        self.last_fault = ""
+        self.evaluation_errors = 0  # evaluations that raised an exception, which means a defect in the checker
+        self.last_error = ""
         compiler = Compiler(scope, [t for rule in [*rules, *([default] if default else [])] for t in rule.trees()])
         tables = {}  # (kind, identity of the value): (tree, {text: [order]})
         self.unindexed, self.residuals = [], []
@@ -396,16 +396,16 @@
             return found[0]
         return sorted(order for orders in found for order in orders)
 
-    def sort(self, facts):
-        """Never raises: if evaluation fails, the call gets the default outcome and `broken` is incremented."""
+    def classify(self, facts):
+        """Never raises: if evaluation fails, the call gets the default outcome and `evaluation_errors` counts it."""
         try:
             for order in self.candidates(facts):
                 residual = self.residuals[order]
                 if residual is None or residual(facts):
                     return self.actions[order](facts)
         except Exception as error:  # noqa: BLE001 - a defect in the checker must not lose the call
-            self.broken += 1
-            self.last_fault = repr(error)
+            self.evaluation_errors += 1
+            self.last_error = repr(error)
         return self.default_action(facts) if self.default_action else None
 
     def explain(self, facts):
@@ -453,8 +453,8 @@
     )
 
 
-def plain(rules, facts):
-    """Reference for `sort`: evaluates the rules in sequence with the interpreter. Returns (outcome, steps)."""
+def interpret_rules(rules, facts):
+    """Reference for `classify`: evaluates the rules in sequence with the interpreter. Returns (outcome, steps)."""
     interpreter = Interpreter(rules.scope, facts)
     for rule in rules.rules:
         if interpreter.value(rule.when):
