--- a/tests/test_without_fleet.py
+++ b/tests/test_without_fleet.py
@@ -54,7 +54,7 @@
 
 
 def digest_of(day, monkeypatch):
-    digest, take, count = xxh64(), ModuleHost.take, [0]
+    digest, take, count = xxh64(), ModuleHost.run_batch, [0]
 
     def recorded(door, now):
         actions = take(door, now)
@@ -63,7 +63,7 @@
             digest.update(f"{now} {type(action).__name__} {decision(action)}\n".encode())
         return actions
 
-    monkeypatch.setattr(ModuleHost, "take", recorded)
+    monkeypatch.setattr(ModuleHost, "run_batch", recorded)
     Fleet(day).run()
     assert count[0] > 5000
     return digest.hexdigest()
--- a/thorndale/call/call_records.py
+++ b/thorndale/call/call_records.py
@@ -1,7 +1,7 @@
 """Builds call records from the current state of calls and from refused requests."""
 
 from thorndale.call import causes
-from thorndale.records.record import NO, YES, Record, Try
+from thorndale.records.record import NO, YES, Record, SeizureRecord
 
 RELEASED_BY = {0: "caller", 1: "server", -1: "proxy"}
 
@@ -38,7 +38,7 @@
         border.revenue_classes[call.call_type],
         call.priority,
         [
-            Try(server_names[server], causes.OUTCOME_NAMES[outcome], sent_at, elapsed)
+            SeizureRecord(server_names[server], causes.OUTCOME_NAMES[outcome], sent_at, elapsed)
             for server, outcome, sent_at, elapsed in call.seizure_results
         ],
         YES if call.answered_at else NO,
