--- a/tests/sip/test_fuzz.py
+++ b/tests/sip/test_fuzz.py
@@ -1,13 +1,13 @@
-"""Generated and mutated messages: nothing but the package's own error comes out, and what parses parses again the same.
+"""Generated and mutated messages: only SipError is raised, and a message that parses survives encoding and reparsing.
 
-Seeded by hypothesis's `derandomize`, so that each run sees the same 100,000 and more.
+Hypothesis runs with `derandomize`, so that each run checks the same messages, more than 100,000.
 """
 
 import random
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from sip.test_message import BASE, made
+from sip.test_message import BASE, build_message
 
 from thorndale.sip import message as m
 from thorndale.sip.errors import SipError
@@ -15,8 +15,8 @@
 from thorndale.sip.transaction import Hop
 from thorndale.sip.uri import parse_uri
 
-EXAMPLES, MUTATIONS = 600, 170  # 102,000 messages
-BITS = [
+EXAMPLE_COUNT, MUTATIONS_PER_EXAMPLE = 600, 170  # 102,000 messages
+FRAGMENTS = [
     b"\r\n",
     b"\r\n\r\n",
     b"\r\n ",
@@ -45,7 +45,7 @@
     b"-1",
     b"tag=",
 ]
-PARTS = st.sampled_from(
+HEADER_VALUES = st.sampled_from(
     [
         "sip:a@b",
         "<sip:a@b;lr>",
@@ -86,45 +86,43 @@
             "Max-Forwards",
         ]
     ),
-    PARTS,
+    HEADER_VALUES,
 )
-seen = {"messages": 0, "parsed": 0}
+totals = {"messages": 0, "parsed": 0}
 
 
-def mutate(data, chance):
+def mutate(data, rng):
     data = bytearray(data)
-    for _ in range(chance.randrange(1, 5)):
-        at, kind = chance.randrange(len(data) + 1), chance.randrange(5)
+    for _ in range(rng.randrange(1, 5)):
+        at, kind = rng.randrange(len(data) + 1), rng.randrange(5)
         if kind == 0:
-            data[at:at] = chance.choice(BITS)
+            data[at:at] = rng.choice(FRAGMENTS)
         elif kind == 1:
-            del data[at : at + chance.randrange(1, 20)]
+            del data[at : at + rng.randrange(1, 20)]
         elif kind == 2 and at < len(data):
-            data[at] = chance.randrange(256)
+            data[at] = rng.randrange(256)
         elif kind == 3:
-            end = min(len(data), at + chance.randrange(60))
+            end = min(len(data), at + rng.randrange(60))
             data[at:at] = data[at:end]
         else:
             lines = bytes(data).split(b"\r\n")
-            chance.shuffle(lines) if chance.random() < 0.2 else lines.insert(
-                chance.randrange(len(lines) + 1), chance.choice(lines)
-            )
+            rng.shuffle(lines) if rng.random() < 0.2 else lines.insert(rng.randrange(len(lines) + 1), rng.choice(lines))
             data = bytearray(b"\r\n".join(lines))
     return bytes(data)
 
 
-def try_all(data):
-    """Every reader on these bytes; whatever parses must serialize to what parses the same."""
-    seen["messages"] += 1
+def check_parsers(data):
+    """Runs every parser on these bytes; a message that parses must be the same after encoding and reparsing."""
+    totals["messages"] += 1
     try:
         message = m.parse(data)
     except SipError:
         return
-    seen["parsed"] += 1
+    totals["parsed"] += 1
     wire = message.encode()
-    again = m.parse(wire)
-    assert again.encode() == wire and again.body == message.body
-    assert (again.method, again.uri, again.status) == (message.method, message.uri, message.status)
+    reparsed = m.parse(wire)
+    assert reparsed.encode() == wire and reparsed.body == message.body
+    assert (reparsed.method, reparsed.uri, reparsed.status) == (message.method, message.uri, message.status)
     for read in (
         lambda: m.check(message),
         lambda: message.contact,
@@ -143,37 +141,37 @@
 
 
 @settings(
-    max_examples=EXAMPLES, derandomize=True, deadline=None, database=None, suppress_health_check=list(HealthCheck)
+    max_examples=EXAMPLE_COUNT, derandomize=True, deadline=None, database=None, suppress_health_check=list(HealthCheck)
 )
 @given(st.lists(HEADER, max_size=6), st.binary(max_size=30), st.integers(0, 1 << 32))
 def fuzz(headers, body, seed):
-    chance = random.Random(seed)
-    base = made(add=[f"{n}: {v}" for n, v in headers], body=body)
-    if chance.random() < 0.3:
+    rng = random.Random(seed)
+    base = build_message(add=[f"{n}: {v}" for n, v in headers], body=body)
+    if rng.random() < 0.3:
         base = base.replace(BASE[0].encode(), b"SIP/2.0 183 Progress")
-    try_all(base)
-    for _ in range(MUTATIONS):
-        try_all(mutate(base, chance))
+    check_parsers(base)
+    for _ in range(MUTATIONS_PER_EXAMPLE):
+        check_parsers(mutate(base, rng))
 
 
 def test_a_hundred_thousand_messages():
     fuzz()
-    assert seen["messages"] >= 100_000 and seen["parsed"] > 10_000
+    assert totals["messages"] >= 100_000 and totals["parsed"] > 10_000
 
 
-def test_the_border_takes_anything():
-    """Mutated calls into a whole border proxy: no exception, and nothing held once time has passed."""
+def test_the_border_survives_mutated_messages():
+    """Mutated messages into a whole border proxy: no exception, and no state left after all timers have expired."""
     from call.rig import SERVER1, Rig
 
-    chance = random.Random(7)
+    rng = random.Random(7)
     rig = Rig("limits: {lag_ms: 0}")
     for n in range(3_000):
         data = rig.invite(branch=f"z9hG4bK{n % 50}", call=f"c{n % 60}").encode()
-        rig.deliver(mutate(data, chance), Hop("udp", "127.0.0.1", 7000))
+        rig.deliver(mutate(data, rng), Hop("udp", "127.0.0.1", 7000))
         for sent in rig.take_sent(SERVER1):
             if sent.method == "INVITE":
-                answer = m.response_to(sent, chance.choice([100, 180, 200, 200, 486, 503]), "t").encode()
-                rig.deliver(mutate(answer, chance) if chance.random() < 0.5 else answer, SERVER1)
+                answer = m.response_to(sent, rng.choice([100, 180, 200, 200, 486, 503]), "t").encode()
+                rig.deliver(mutate(answer, rng) if rng.random() < 0.5 else answer, SERVER1)
         rig.run(20_000)
         rig.sent.clear()
     rig.run(20_000_000)
--- a/tests/sip/test_message.py
+++ b/tests/sip/test_message.py
@@ -1,4 +1,4 @@
-"""Messages, headers, URIs and framing: what peers really send, and the kinds of RFC 4475 written anew."""
+"""Messages, headers, URIs and framing: forms that peers send, and cases after those of RFC 4475."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 ]
 
 
-def made(*changes, body=b"", drop=(), add=()):
+def build_message(*changes, body=b"", drop=(), add=()):
     lines = [line for line in BASE if not any(line.lower().startswith(d) for d in drop)]
     for line in changes:
         name = line.partition(":")[0].lower() if ":" in line.partition(" ")[0] else ""
@@ -33,17 +33,17 @@
     return "\r\n".join([*lines, *add]).encode() + b"\r\n\r\n" + body
 
 
-def verdict(data, stream=False):
-    """0: good; else the status that the fault asks for."""
+def response_status(data, stream=False):
+    """0 for a valid message, else the response status of its error."""
     try:
         m.check(m.parse(data, stream))
-    except SipError as fault:
-        return fault.status
+    except SipError as error:
+        return error.status
     return 0
 
 
 def test_a_tortuous_invite():
-    """RFC 4475 section 3.1.1.1's kind: folded lines, odd case and spaces, compact and unknown names, escapes."""
+    """After RFC 4475 section 3.1.1.1: folded lines, unusual case and spaces, compact and unknown names, escapes."""
     data = (
         b"INVITE sip:vivekg@chair-dnrc.example.com;unknownparam SIP/2.0\r\nTO :\r\n sip:vivekg@chair-dnrc.example.com ;"
         b'   tag    = 1918181833n\r\nfrom   : "J Rosenberg \\\\\\""       <sip:jdrosen@example.com>\r\n  ;\r\n'
@@ -63,67 +63,67 @@
     assert message.contact.uri == "sip:jdrosen@example.com" and message.contact.params["q"] == "0.33"
     assert message.get("newfangledheader") == "newfangled value continued newfangled value"
     assert len(message.body) == 9
-    again = m.parse(message.encode())
-    assert again.all("via") == message.all("via") and again.body == message.body
+    reparsed = m.parse(message.encode())
+    assert reparsed.all("via") == message.all("via") and reparsed.body == message.body
 
 
 @pytest.mark.parametrize(
     "data, status",
     [
-        # good ones that look odd (RFC 4475 section 3.1.1)
-        (made(), 0),
+        # valid but unusual messages (RFC 4475 section 3.1.1)
+        (build_message(), 0),
         (
-            made(
+            build_message(
                 "!interesting-Method0123456789_*+`.%indeed'~ sip:1@example.com SIP/2.0",
                 "CSeq: 5 !interesting-Method0123456789_*+`.%indeed'~",
             ),
             0,
         ),
-        (made("INVITE sip:sips%3Auser%40example.com@example.net SIP/2.0"), 0),
-        (made("INVITE sip:null-%00-null@example.com SIP/2.0"), 0),
-        (made("RE%47IST%45R sip:registrar.example.com SIP/2.0", "CSeq: 5 RE%47IST%45R"), 0),
-        (made(body=b"trailing octets after the datagram's message", add=["l: 0"]), 0),
-        (made('From: "Nobody has the <angle> brackets, or ;tag=x" <sip:a@example.com>;tag=f1'), 0),
-        (made("Via: SIP/2.0/UDP [2001:db8::9:1]:5060;branch=z9hG4bKas3-111"), 0),
-        (made(add=["Subject: " + "long " * 500]), 0),
-        (b"\r\n\r\n" + made(), 0),
-        (b"SIP/2.0 200 = 2**3 * 5**2 \xd0\xbd\xd0\xbe\r\n" + b"\r\n".join(made().split(b"\r\n")[1:]), 0),
-        (b"SIP/2.0 100 \r\n" + b"\r\n".join(made().split(b"\r\n")[1:]), 0),
-        # bad ones (section 3.1.2)
-        (made(add=["Content-Length: -999"]), 400),
-        (made(add=["Content-Length: 9999"], body=b"short"), 400),
-        (made(add=["Content-Length: 5", "l: 5"], body=b"twice"), 400),
-        (made("CSeq: 36893488147419103232 INVITE"), 400),
-        (made("CSeq: 5 NEWMETHOD"), 400),
-        (made("CSeq: five INVITE"), 400),
-        (made("INVITE  sip:user@example.com SIP/2.0"), 400),
-        (made("INVITE sip:user@example.com  SIP/2.0"), 400),
-        (made("INVITE <sip:user@example.com> SIP/2.0"), 400),
-        (made("INVITE sip:user@example.com; lr SIP/2.0"), 400),
-        (made("INVITE sip:user@example.com SIP/2.0 "), 400),
-        (made("INVITE sip:user@example.com SIP/7.0"), 505),
-        (made('To: "Mr. J. User <sip:j.user@example.com>'), 400),
-        (made("To: <sip:b@example.com"), 400),
-        (made("From: Bell, Alexander <sip:a.g.bell@example.com>;tag=43"), 400),
-        (made("From: sip:a@example.com?Route=%3Csip:x%3E;tag=1"), 400),
-        (made("Via: SIP/2.0/UDP 192.0.2.15;;,;,,"), 0),
-        (made("Via: /2.0/UDP 192.0.2.15"), 400),
-        (made("Via: SIP/2.0/UDP 192.0.2.15:99999"), 400),
-        (made("Max-Forwards: 300"), 400),
-        (made("Max-Forwards: many"), 400),
-        (made('Contact: "Joe" <sip:joe@example.org>>'), 400),
-        (made(add=["Expires 5"]), 400),
-        (made(add=["Bad Name: x"]), 400),
-        (made(add=["X: a\nb"]), 400),
-        (made(add=["To: <sip:again@example.com>"]), 400),
-        (made(add=["Call-ID: two"]), 400),
-        (made(drop=["via"]), 400),
-        (made(drop=["from"]), 400),
-        (made(drop=["to"]), 400),
-        (made(drop=["call-id"]), 400),
-        (made(drop=["cseq"]), 400),
-        (made(add=["X: y"] * 300), 513),
-        (made(add=["X: " + "y" * 17_000]), 513),
+        (build_message("INVITE sip:sips%3Auser%40example.com@example.net SIP/2.0"), 0),
+        (build_message("INVITE sip:null-%00-null@example.com SIP/2.0"), 0),
+        (build_message("RE%47IST%45R sip:registrar.example.com SIP/2.0", "CSeq: 5 RE%47IST%45R"), 0),
+        (build_message(body=b"trailing octets after the datagram's message", add=["l: 0"]), 0),
+        (build_message('From: "Nobody has the <angle> brackets, or ;tag=x" <sip:a@example.com>;tag=f1'), 0),
+        (build_message("Via: SIP/2.0/UDP [2001:db8::9:1]:5060;branch=z9hG4bKas3-111"), 0),
+        (build_message(add=["Subject: " + "long " * 500]), 0),
+        (b"\r\n\r\n" + build_message(), 0),
+        (b"SIP/2.0 200 = 2**3 * 5**2 \xd0\xbd\xd0\xbe\r\n" + b"\r\n".join(build_message().split(b"\r\n")[1:]), 0),
+        (b"SIP/2.0 100 \r\n" + b"\r\n".join(build_message().split(b"\r\n")[1:]), 0),
+        # invalid messages (RFC 4475 section 3.1.2)
+        (build_message(add=["Content-Length: -999"]), 400),
+        (build_message(add=["Content-Length: 9999"], body=b"short"), 400),
+        (build_message(add=["Content-Length: 5", "l: 5"], body=b"twice"), 400),
+        (build_message("CSeq: 36893488147419103232 INVITE"), 400),
+        (build_message("CSeq: 5 NEWMETHOD"), 400),
+        (build_message("CSeq: five INVITE"), 400),
+        (build_message("INVITE  sip:user@example.com SIP/2.0"), 400),
+        (build_message("INVITE sip:user@example.com  SIP/2.0"), 400),
+        (build_message("INVITE <sip:user@example.com> SIP/2.0"), 400),
+        (build_message("INVITE sip:user@example.com; lr SIP/2.0"), 400),
+        (build_message("INVITE sip:user@example.com SIP/2.0 "), 400),
+        (build_message("INVITE sip:user@example.com SIP/7.0"), 505),
+        (build_message('To: "Mr. J. User <sip:j.user@example.com>'), 400),
+        (build_message("To: <sip:b@example.com"), 400),
+        (build_message("From: Bell, Alexander <sip:a.g.bell@example.com>;tag=43"), 400),
+        (build_message("From: sip:a@example.com?Route=%3Csip:x%3E;tag=1"), 400),
+        (build_message("Via: SIP/2.0/UDP 192.0.2.15;;,;,,"), 0),
+        (build_message("Via: /2.0/UDP 192.0.2.15"), 400),
+        (build_message("Via: SIP/2.0/UDP 192.0.2.15:99999"), 400),
+        (build_message("Max-Forwards: 300"), 400),
+        (build_message("Max-Forwards: many"), 400),
+        (build_message('Contact: "Joe" <sip:joe@example.org>>'), 400),
+        (build_message(add=["Expires 5"]), 400),
+        (build_message(add=["Bad Name: x"]), 400),
+        (build_message(add=["X: a\nb"]), 400),
+        (build_message(add=["To: <sip:again@example.com>"]), 400),
+        (build_message(add=["Call-ID: two"]), 400),
+        (build_message(drop=["via"]), 400),
+        (build_message(drop=["from"]), 400),
+        (build_message(drop=["to"]), 400),
+        (build_message(drop=["call-id"]), 400),
+        (build_message(drop=["cseq"]), 400),
+        (build_message(add=["X: y"] * 300), 513),
+        (build_message(add=["X: " + "y" * 17_000]), 513),
         (b"", 400),
         (b"\r\n\r\n\r\n\r\n", 400),
         (b"junk\r\n\r\n", 400),
@@ -132,21 +132,21 @@
         (b"INVITE sip:a SIP/2.0\r\n", 400),
     ],
 )
-def test_verdicts(data, status):
-    assert verdict(data) == status
+def test_validity_and_response_status(data, status):
+    assert response_status(data) == status
 
 
-def test_a_fault_keeps_what_can_be_answered():
-    for data in (made("INVITE sip:user@example.com SIP/7.0"), made(add=["Content-Length: 9999"])):
-        with pytest.raises(SipError) as caught:
+def test_an_error_keeps_enough_of_the_request_to_answer_it():
+    for data in (build_message("INVITE sip:user@example.com SIP/7.0"), build_message(add=["Content-Length: 9999"])):
+        with pytest.raises(SipError) as raised:
             m.parse(data)
-        answer = m.response_to(caught.value.message, caught.value.status, "t").encode()
+        answer = m.response_to(raised.value.message, raised.value.status, "t").encode()
         assert b"z9hG4bK390" in answer and b"CSeq: 5 INVITE" in answer
 
 
 def test_a_message_on_a_stream_needs_its_length_only_with_a_body():
-    assert verdict(made(), stream=True) == 0
-    assert verdict(made(body=b"x"), stream=True) == 400
+    assert response_status(build_message(), stream=True) == 0
+    assert response_status(build_message(body=b"x"), stream=True) == 400
 
 
 @pytest.mark.parametrize(
@@ -154,8 +154,8 @@
     [
         ("sip:+16305550100;tgrp=tg-1;trunk-context=example.com@isp.example.net;user=phone", "tg-1"),
         ("tel:+5555;tgrp=tg-1;trunk-context=+1-630", "tg-1"),
-        ("sip:+16305550100;tgrp=tg-1@isp.example.net", ""),  # RFC 4904 section 5: without a context it means nothing
-        ("sip:+16305550100@isp.example.net;tgrp=tg-1;trunk-context=x", ""),  # of the host, not of the number
+        ("sip:+16305550100;tgrp=tg-1@isp.example.net", ""),  # RFC 4904 section 5: ignored without a trunk-context
+        ("sip:+16305550100@isp.example.net;tgrp=tg-1;trunk-context=x", ""),  # not in the user part
     ],
 )
 def test_trunk_groups(text, group):
@@ -183,61 +183,61 @@
 
 
 def test_framing():
-    one, two = made(add=["Content-Length: 3"], body=b"abc"), made(add=["l:0"])
+    one, two = build_message(add=["Content-Length: 3"], body=b"abc"), build_message(add=["l:0"])
     assert Framer().feed(one + two) == [one, two]  # two messages in one segment
-    framer, got = Framer(), []
-    for n in range(0, len(one), max(1, len(one) // 20)):  # one message in twenty
-        got += framer.feed(one[n : n + max(1, len(one) // 20)])
-    assert got == [one] and not framer.partial
-    framer, got = Framer(), []
+    framer, messages = Framer(), []
+    for n in range(0, len(one), max(1, len(one) // 20)):  # one message in about twenty pieces
+        messages += framer.feed(one[n : n + max(1, len(one) // 20)])
+    assert messages == [one] and not framer.partial
+    framer, messages = Framer(), []
     for byte in b"\r\n" + one + b"\r\n\r\n" + two + b"\r\n\r\n":
-        got += framer.feed(bytes([byte]))
-    assert got == [one, KEEPALIVE, two, KEEPALIVE]
+        messages += framer.feed(bytes([byte]))
+    assert messages == [one, KEEPALIVE, two, KEEPALIVE]
     for bad in (
         b"x" * 17_000,
-        made(add=["Content-Length: 99999999"]),
-        made(add=["l: x"]),
-        made(add=["l: 1", "l: 2"]),
+        build_message(add=["Content-Length: 99999999"]),
+        build_message(add=["l: x"]),
+        build_message(add=["l: 1", "l: 2"]),
         b"\rX",
     ):
         with pytest.raises(SipError):
             Framer().feed(bad)
 
 
-def test_received_and_rport_and_where_the_answer_goes():
-    message = m.parse(made("Via: SIP/2.0/UDP 10.1.1.1:4540;rport;branch=z9hG4bKkjshdyff"))
+def test_received_and_rport_set_the_response_address():
+    message = m.parse(build_message("Via: SIP/2.0/UDP 10.1.1.1:4540;rport;branch=z9hG4bKkjshdyff"))
     m.received_from(message, "192.0.2.1", 9988)
     assert message.via.params["received"] == "192.0.2.1" and message.via.params["rport"] == "9988"
     assert m.reply_address(message) == ("192.0.2.1", 9988)
-    message = m.parse(made())
+    message = m.parse(build_message())
     m.received_from(message, "192.0.2.9", 9988)
     assert m.reply_address(message) == ("192.0.2.9", 5060)
 
 
-def test_dialogs_routes_and_order():
+def test_dialog_routes_and_cseq_order():
     ok = m.response_to(
-        m.parse(made()),
+        m.parse(build_message()),
         200,
         "t1",
         extra=[("Record-Route", "<sip:10.0.0.1;lr>, <sip:10.0.0.2;lr>"), ("Contact", "<sip:b@10.0.0.9:5070>")],
     )
-    dialog = Dialog.of_response(m.parse(made()), ok, Hop("udp", "10.0.0.2", 5060))
+    dialog = Dialog.of_response(m.parse(build_message()), ok, Hop("udp", "10.0.0.2", 5060))
     bye = dialog.request("BYE", "SIP/2.0/UDP x;branch=z9hG4bK1")
     assert bye.uri == "sip:b@10.0.0.9:5070" and bye.all("route") == ["<sip:10.0.0.2;lr>", "<sip:10.0.0.1;lr>"]
     assert bye.cseq == (6, "BYE") and bye.to_tag == "t1" and dialog.hop == Hop("udp", "10.0.0.2", 5060, 0)
-    strict = m.parse(made(add=["Record-Route: <sip:10.0.0.1>, <sip:10.0.0.2;lr>"]))
+    strict = m.parse(build_message(add=["Record-Route: <sip:10.0.0.1>, <sip:10.0.0.2;lr>"]))
     called = Dialog.of_request(strict, "t2", Hop("udp", "10.0.0.1", 5060))
     bye = called.request("BYE", "SIP/2.0/UDP x;branch=z9hG4bK2")
     assert bye.uri == "sip:10.0.0.1" and bye.all("route")[-1] == "<sip:a@192.0.2.2>"
-    later = m.parse(made("BYE sip:x SIP/2.0", "CSeq: 9 BYE", "To: <sip:b@example.com>;tag=t2"))
+    later = m.parse(build_message("BYE sip:x SIP/2.0", "CSeq: 9 BYE", "To: <sip:b@example.com>;tag=t2"))
     assert called.is_of(later) and called.in_order(later) and not called.in_order(later)
-    called.refresh(m.parse(made("Contact: <sip:new@192.0.2.7:5090>")))
+    called.refresh(m.parse(build_message("Contact: <sip:new@192.0.2.7:5090>")))
     assert called.target == "sip:new@192.0.2.7:5090"
-    called.refresh(m.parse(made("Contact: <sip:new@nowhere.example>")))
+    called.refresh(m.parse(build_message("Contact: <sip:new@nowhere.example>")))
     assert called.target == "sip:new@192.0.2.7:5090"
 
 
-def test_reasons_and_waits():
+def test_reason_and_retry_after():
     assert h.parse_reasons(['SIP;cause=200;text="x, y"', "Q.850 ;cause=34"]) == {
         "sip": h.Reason(200),
         "q.850": h.Reason(34),
--- a/tests/sip/test_transaction.py
+++ b/tests/sip/test_transaction.py
@@ -1,4 +1,4 @@
-"""The four transactions in virtual time, on datagrams and on streams."""
+"""The four transaction state machines in virtual time, on datagrams and on streams."""
 
 from thorndale.sip import message as m
 from thorndale.sip.transaction import CLIENT, INVITE_CLIENT, INVITE_SERVER, SERVER, Hop, Layer, Times
@@ -7,7 +7,7 @@
 UDP, TCP = Hop("udp", "127.0.0.1", 9), Hop("tcp", "127.0.0.1", 9, 3)
 
 
-def text(method="INVITE", branch="z9hG4bKa", seq=1, to="", call="c"):
+def request_bytes(method="INVITE", branch="z9hG4bKa", seq=1, to="", call="c"):
     return (
         f"{method} sip:x@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:9;branch={branch}\r\nFrom: <sip:a@b>;tag=f\r\n"
         f"To: <sip:x@y>{to}\r\nCall-ID: {call}\r\nCSeq: {seq} {method}\r\n\r\n"
@@ -16,13 +16,13 @@
 
 class User:
     def __init__(self):
-        self.now, self.sent, self.seen = 0, [], []
+        self.now, self.sent, self.callbacks = 0, [], []
         self.timers = Timers()
         self.layer = Layer(
             self.timers, Times(), 100, self, lambda hop, data: self.sent.append((self.now, m.parse(data)))
         )
 
-    def give(self, data, hop=UDP):
+    def receive(self, data, hop=UDP):
         self.layer.receive(self.now, m.parse(data), hop)
 
     def run(self, us):
@@ -33,62 +33,62 @@
         self.now = end
 
     def times(self):
-        found, self.sent = [t / 1e6 for t, _ in self.sent], []
-        return found
+        seconds, self.sent = [t / 1e6 for t, _ in self.sent], []
+        return seconds
 
     def request(self, now, tx, message):
-        self.seen.append(("request", tx))
+        self.callbacks.append(("request", tx))
 
     def ack(self, now, message, hop):
-        self.seen.append(("ack", message))
+        self.callbacks.append(("ack", message))
 
     def stray(self, now, message, hop):
-        self.seen.append(("stray", message))
+        self.callbacks.append(("stray", message))
 
     def full(self, now, message, hop):
-        self.seen.append(("full", message))
+        self.callbacks.append(("full", message))
 
     def response(self, now, tx, message):
-        self.seen.append((message.status, tx))
+        self.callbacks.append((message.status, tx))
 
     def failed(self, now, tx, kind):
-        self.seen.append((kind, tx))
+        self.callbacks.append((kind, tx))
 
     def answer(self, tx, status, tag="t"):
-        self.give(m.response_to(tx.message, status, tag).encode(), tx.hop)
+        self.receive(m.response_to(tx.message, status, tag).encode(), tx.hop)
 
     def kinds(self):
-        found, self.seen = [kind for kind, _ in self.seen], []
-        return found
+        kinds, self.callbacks = [kind for kind, _ in self.callbacks], []
+        return kinds
 
 
-def test_every_row_leads_to_a_state_that_is_there():
+def test_every_state_in_the_tables_is_reachable():
     for table, first in (
         (INVITE_CLIENT, "calling"),
         (CLIENT, "trying"),
         (INVITE_SERVER, "proceeding"),
         (SERVER, "trying"),
     ):
-        reached, grown = {first}, True
-        while grown:
+        reached, added = {first}, True
+        while added:
             more = {row[0] for (state, _), row in table.items() if state in reached} | reached
-            grown, reached = more != reached, more
+            added, reached = more != reached, more
         assert {state for state, _ in table} <= reached and "terminated" in reached
 
 
 def test_invite_client_repeats_and_times_out_on_datagrams_only():
     user = User()
-    user.layer.request(0, m.parse(text()), UDP, user)
+    user.layer.request(0, m.parse(request_bytes()), UDP, user)
     user.run(40_000_000)
     assert user.times() == [0, 0.5, 1.5, 3.5, 7.5, 15.5, 31.5] and user.kinds() == ["timeout"]
-    user.layer.request(user.now, m.parse(text(branch="z9hG4bKb")), TCP, user)
+    user.layer.request(user.now, m.parse(request_bytes(branch="z9hG4bKb")), TCP, user)
     user.run(40_000_000)
     assert len(user.times()) == 1 and user.kinds() == ["timeout"] and len(user.layer) == len(user.timers) == 0
 
 
 def test_invite_client_acks_each_refusal_and_lingers_for_timer_d():
     user = User()
-    tx = user.layer.request(0, m.parse(text()), UDP, user)
+    tx = user.layer.request(0, m.parse(request_bytes()), UDP, user)
     user.answer(tx, 100)
     user.run(5_000_000)
     user.answer(tx, 486)
@@ -104,7 +104,7 @@
 
 def test_accepted_takes_every_200_and_nothing_else():
     user = User()
-    tx = user.layer.request(0, m.parse(text()), TCP, user)
+    tx = user.layer.request(0, m.parse(request_bytes()), TCP, user)
     user.answer(tx, 200)
     user.answer(tx, 200, "other")
     user.answer(tx, 486)
@@ -114,9 +114,9 @@
     assert user.kinds() == ["stray"]
 
 
-def test_a_quiet_invite_is_repeated_no_more_but_hears_its_answer():
+def test_an_abandoned_invite_is_not_retransmitted_but_its_response_is_delivered():
     user = User()
-    tx = user.layer.request(0, m.parse(text()), UDP, user)
+    tx = user.layer.request(0, m.parse(request_bytes()), UDP, user)
     tx.quiet(0)
     user.run(10_000_000)
     assert len(user.times()) == 1
@@ -126,17 +126,17 @@
 
 def test_client_on_datagrams():
     user = User()
-    tx = user.layer.request(0, m.parse(text("BYE")), UDP, user)
+    tx = user.layer.request(0, m.parse(request_bytes("BYE")), UDP, user)
     user.run(33_000_000)
     assert user.times() == [0, 0.5, 1.5, 3.5, 7.5, 11.5, 15.5, 19.5, 23.5, 27.5, 31.5] and user.kinds() == ["timeout"]
-    tx = user.layer.request(user.now, m.parse(text("BYE", "z9hG4bKc")), UDP, user)
+    tx = user.layer.request(user.now, m.parse(request_bytes("BYE", "z9hG4bKc")), UDP, user)
     user.answer(tx, 100)
     user.sent.clear()
     user.run(9_000_000)
-    assert len(user.times()) >= 2  # timer E at T2 goes on while it is proceeding
+    assert len(user.times()) >= 2  # timer E continues at T2 in the state "proceeding"
     ok = m.response_to(tx.message, 200, "t").encode()
-    user.give(ok)
-    user.give(ok)
+    user.receive(ok)
+    user.receive(ok)
     assert user.kinds() == [100, 200]
     user.run(6_000_000)
     assert len(user.layer) == 0 and not user.timers
@@ -144,36 +144,36 @@
 
 def test_invite_server_repeats_its_refusal_until_the_ack():
     user = User()
-    user.give(text())
-    tx = user.seen[0][1]
+    user.receive(request_bytes())
+    tx = user.callbacks[0][1]
     tx.respond(0, 486, "t")
     user.run(4_000_000)
     assert user.times() == [0, 0.5, 1.5, 3.5]
-    user.give(text())
+    user.receive(request_bytes())
     assert len(user.times()) == 1
-    user.give(text("ACK", seq=1, to=";tag=t"))
+    user.receive(request_bytes("ACK", seq=1, to=";tag=t"))
     user.run(4_000_000)
-    user.give(text("ACK", seq=1, to=";tag=t"))
+    user.receive(request_bytes("ACK", seq=1, to=";tag=t"))
     assert user.times() == [] and user.kinds() == ["request"]
     user.run(2_000_000)
-    assert len(user.layer) == 0 and not user.layer.invites
+    assert len(user.layer) == 0 and not user.layer.invites_by_identity
 
 
 def test_invite_server_without_ack():
     user = User()
-    user.give(text(), TCP)
-    user.seen[0][1].respond(0, 486, "t")
+    user.receive(request_bytes(), TCP)
+    user.callbacks[0][1].respond(0, 486, "t")
     user.run(33_000_000)
-    assert len(user.times()) == 1 and user.kinds() == ["request", "no ack"]  # on a stream nothing is repeated
+    assert len(user.times()) == 1 and user.kinds() == ["request", "no ack"]  # nothing is retransmitted on a stream
 
 
 def test_acks_of_200s_and_repeated_invites_after_them():
     user = User()
-    user.give(text())
-    tx = user.seen[0][1]
+    user.receive(request_bytes())
+    tx = user.callbacks[0][1]
     tx.respond(0, 200, "t")
-    user.give(text())
-    user.give(text("ACK", branch="z9hG4bKack", to=";tag=t"))
+    user.receive(request_bytes())
+    user.receive(request_bytes("ACK", branch="z9hG4bKack", to=";tag=t"))
     assert len(user.times()) == 1 and user.kinds() == ["request", "ack"]
     user.run(32_000_001)
     assert len(user.layer) == 0
@@ -181,12 +181,12 @@
 
 def test_server_repeats_its_answer():
     user = User()
-    user.give(text("OPTIONS"))
-    user.give(text("OPTIONS"))
-    tx = user.seen[0][1]
+    user.receive(request_bytes("OPTIONS"))
+    user.receive(request_bytes("OPTIONS"))
+    tx = user.callbacks[0][1]
     tx.respond(0, 200, "t")
     tx.respond(0, 500, "t")
-    user.give(text("OPTIONS"))
+    user.receive(request_bytes("OPTIONS"))
     assert [message.status for _, message in user.sent] == [200, 200] and user.kinds() == ["request"]
     user.run(32_000_001)
     assert len(user.layer) == 0
@@ -194,27 +194,27 @@
 
 def test_cancel_finds_its_invite_and_only_that():
     user = User()
-    user.give(text())
-    user.give(text(branch="z9hG4bKz", call="d"))
-    first = user.seen[0][1]
-    assert user.layer.cancelled(m.parse(text("CANCEL"))) is first
-    assert user.layer.cancelled(m.parse(text("CANCEL", call="e"))) is None
+    user.receive(request_bytes())
+    user.receive(request_bytes(branch="z9hG4bKz", call="d"))
+    first = user.callbacks[0][1]
+    assert user.layer.cancelled(m.parse(request_bytes("CANCEL"))) is first
+    assert user.layer.cancelled(m.parse(request_bytes("CANCEL", call="e"))) is None
 
 
 def test_branches_of_before_rfc_3261():
     user = User()
-    old = text(branch="old")
-    user.give(old)
-    user.give(old)
-    user.give(text(branch="old", seq=2))
+    old = request_bytes(branch="old")
+    user.receive(old)
+    user.receive(old)
+    user.receive(request_bytes(branch="old", seq=2))
     assert user.kinds() == ["request", "request"]
 
 
-def test_lost_connections_end_what_hangs_on_them():
+def test_a_lost_connection_ends_its_transactions():
     user = User()
-    user.layer.request(0, m.parse(text()), TCP, user)
-    user.give(text(call="z"), TCP)
-    user.layer.request(0, m.parse(text("BYE", "z9hG4bKd")), UDP, user)
+    user.layer.request(0, m.parse(request_bytes()), TCP, user)
+    user.receive(request_bytes(call="z"), TCP)
+    user.layer.request(0, m.parse(request_bytes("BYE", "z9hG4bKd")), UDP, user)
     user.kinds()
     user.layer.lost(0, TCP, "lost")
     assert sorted(user.kinds()) == ["lost", "lost"]
@@ -225,18 +225,18 @@
 def test_the_bound_on_transactions():
     user = User()
     for n in range(105):
-        user.give(text(branch=f"z9hG4bK{n}", call=str(n)))
+        user.receive(request_bytes(branch=f"z9hG4bK{n}", call=str(n)))
     assert user.kinds().count("full") == 5 and len(user.layer) == 100
-    assert user.layer.request(0, m.parse(text("BYE", "z9hG4bKe")), UDP, user) is None
+    assert user.layer.request(0, m.parse(request_bytes("BYE", "z9hG4bKe")), UDP, user) is None
 
 
 def test_timers_are_swept_and_run_in_order():
     class Owner:
         def __init__(self):
-            self.ran = []
+            self.fired = []
 
         def due(self, now, name):
-            self.ran.append(name)
+            self.fired.append(name)
 
     timers, owner = Timers(), Owner()
     handles = [timers.set(n % 7, owner, n) for n in range(20_000)]
@@ -245,6 +245,6 @@
             timers.cancel(handle)
             timers.cancel(handle)
     assert len(timers) == 4_000
-    assert timers.run(3) == len(owner.ran) and owner.ran == sorted(owner.ran, key=lambda n: (n % 7, n))
+    assert timers.run(3) == len(owner.fired) and owner.fired == sorted(owner.fired, key=lambda n: (n % 7, n))
     timers.run(10)
-    assert len(timers) == 0 and timers.next_at() is None and len(owner.ran) == 4_000
+    assert len(timers) == 0 and timers.next_at() is None and len(owner.fired) == 4_000
--- a/thorndale/sip/__init__.py
+++ b/thorndale/sip/__init__.py
@@ -1,5 +1,5 @@
 """SIP without I/O: messages, headers, URIs, stream framing, transactions and dialogs (RFC 3261).
 
-Bytes and whole microseconds come in, bytes and values come out. Nothing here opens a socket, reads a clock or
-draws chance.
+The input is bytes and times in whole microseconds, the output is bytes and values. Nothing here opens a socket,
+reads a clock or draws random numbers, so every run can be reproduced.
 """
--- a/thorndale/sip/dialog.py
+++ b/thorndale/sip/dialog.py
@@ -1,6 +1,6 @@
-"""Dialogs (RFC 3261 section 12): what both ends of a call remember of each other.
+"""Dialogs (RFC 3261 section 12): the state that each end of a call keeps about the other.
 
-A dialog makes the requests that go inside it and judges those that come. It holds no transaction and no timer.
+A dialog builds the requests sent within it and checks those received. It holds no transaction and no timer.
 """
 
 from thorndale.sip import headers as h
@@ -9,26 +9,29 @@
 from thorndale.sip.transaction import Hop
 from thorndale.sip.uri import host_port, parse_uri
 
-PORTS = {"udp": 5060, "tcp": 5060}
+DEFAULT_PORTS = {"udp": 5060, "tcp": 5060}
 
 
 def hop_of(uri_text):
-    """Where a request for this URI goes: transport, address and port written there, else UDP and 5060. Names are
-    not looked up. Raises SipError."""
+    """The hop for a request to this URI: its transport, address and port, by default UDP and 5060.
+
+    Host names are not resolved, only IP addresses are accepted. Raises SipError.
+    """
     uri = parse_uri(uri_text)
     transport = uri.params.get("transport", "udp").lower()
-    if transport not in PORTS or uri.scheme != "sip":
-        raise SipError(f"transport {transport[:10]!r} is not served", "URI")
+    if transport not in DEFAULT_PORTS or uri.scheme != "sip":
+        raise SipError(f"transport {transport[:10]!r} is not supported", "URI")
     host = uri.params.get("maddr") or uri.host
     if not (":" in host or host.replace(".", "").isdigit()):
-        raise SipError(f"{host[:40]!r} is no address", "URI")
-    return Hop(transport, host, uri.port or PORTS[transport], 0)
+        raise SipError(f"{host[:40]!r} is not an IP address", "URI")
+    return Hop(transport, host, uri.port or DEFAULT_PORTS[transport], 0)
 
 
 class Dialog:
-    """One side's view. `local` and `remote` are the From and To texts of its own requests, tags included.
+    """One side's view of a dialog.
 
-    `made_by_us` tells who sent the INVITE. `routes` are Route values in the order in which they go out.
+    `local` and `remote` are the From and To values of this side's requests, tags included. `sent_invite` is true if
+    this side sent the INVITE. `routes` are Route values in the order in which they are sent.
     """
 
     __slots__ = (
@@ -42,20 +45,23 @@
         "local_seq",
         "remote_seq",
         "hop",
-        "made_by_us",
+        "sent_invite",
     )
 
     def __init__(
-        self, call_id, local, remote, local_tag, remote_tag, target, routes, local_seq, remote_seq, hop, made_by_us
+        self, call_id, local, remote, local_tag, remote_tag, target, routes, local_seq, remote_seq, hop, sent_invite
     ):
         self.call_id, self.local, self.remote = call_id, local, remote
         self.local_tag, self.remote_tag, self.target, self.routes = local_tag, remote_tag, target, routes
-        self.local_seq, self.remote_seq, self.hop, self.made_by_us = local_seq, remote_seq, hop, made_by_us
+        self.local_seq, self.remote_seq, self.hop, self.sent_invite = local_seq, remote_seq, hop, sent_invite
 
     @classmethod
     def of_request(cls, invite, local_tag, hop):
-        """The called side's view, from the INVITE (12.1.1). `hop` is where it came from: kept for a stream, whose
-        connection serves both ways. Raises SipError."""
+        """The called side's view, from the INVITE (12.1.1). Raises SipError.
+
+        `hop` is the source of the INVITE. It is kept for a stream, since the connection carries requests in both
+        directions.
+        """
         contact = invite.contact
         if contact is None:
             raise SipError("is missing", "Contact")
@@ -97,24 +103,26 @@
             hop,
             True,
         )
-        wanted = dialog.next_hop()
-        if wanted.transport != hop.transport or hop.conn == 0:
-            dialog.hop = wanted
+        next_hop = dialog.next_hop()
+        if next_hop.transport != hop.transport or hop.conn == 0:
+            dialog.hop = next_hop
         return dialog
 
     def next_hop(self):
-        """The first route's address, else the target's. Raises SipError."""
+        """The hop of the first route or, without routes, of the target. Raises SipError."""
         return hop_of(h.parse_address(self.routes[0]).uri if self.routes else self.target)
 
     def is_of(self, request):
-        """Whether this request from the other side belongs here (12.2.2)."""
+        """Whether this request from the other side belongs to this dialog (12.2.2)."""
         return (
             request.call_id == self.call_id and request.to_tag == self.local_tag and request.from_tag == self.remote_tag
         )
 
     def in_order(self, request):
-        """Whether the request's CSeq is newer than all before; then it is the newest (12.2.2). An ACK takes the
-        number of its INVITE and is always in order."""
+        """Records the request's CSeq and returns True if it is higher than all earlier ones (12.2.2).
+
+        An ACK has the number of its INVITE, so it is always accepted and not recorded.
+        """
         number, method = request.cseq
         if method == "ACK":
             return True
@@ -124,7 +132,10 @@
         return True
 
     def refresh(self, message):
-        """Takes a new target from a request or 2xx that refreshes it: re-INVITE, UPDATE (12.2.1.2, 12.2.2)."""
+        """Takes the remote target from a target refresh request or its 2xx: re-INVITE, UPDATE (12.2.1.2, 12.2.2).
+
+        A Contact that is malformed or has no usable address leaves the target as it is.
+        """
         try:
             contact = message.contact
             if contact is not None and contact.uri != self.target:
@@ -136,15 +147,18 @@
             return
 
     def request(self, method, via, extra=(), body=b"", seq=0):
-        """A request inside the dialog (12.2.1.1). `seq` for an ACK or CANCEL: the number of its INVITE; else the
-        next one is taken. `extra` is pairs of name and value."""
+        """A request within the dialog (12.2.1.1).
+
+        `seq` is the CSeq number of the INVITE for an ACK or CANCEL; 0 takes the next number. `extra` is pairs of
+        header name and value.
+        """
         if not seq:
             self.local_seq += 1
             seq = self.local_seq
         uri, routes = self.target, self.routes
         if routes:
             first = h.parse_address(routes[0]).uri
-            if "lr" not in parse_uri(first).params:  # a strict router: it wants itself in the Request-URI
+            if "lr" not in parse_uri(first).params:  # a strict router requires its own URI in the Request-URI
                 uri, routes = first, (*routes[1:], f"<{self.target}>")
         message = Message(method, uri)
         message.fields = [
@@ -164,5 +178,5 @@
 
 
 def via_text(transport, host, port, branch):
-    """A Via of our own, asking for rport (RFC 3581)."""
+    """The Via value of a request sent from here, with the rport parameter (RFC 3581)."""
     return f"SIP/2.0/{transport.upper()} {host_port(host, port)};branch={branch};rport"
--- a/thorndale/sip/errors.py
+++ b/thorndale/sip/errors.py
@@ -1,14 +1,14 @@
-"""The package's one error."""
+"""The only exception that this package raises for bad input."""
 
 
 class SipError(Exception):
-    """Something from a peer that cannot be used.
+    """Input from a peer that is malformed or not supported.
 
-    `what` says what is wrong, `where` names the header or part, `status` is the response that RFC 3261
-    section 8.2 gives such a request (400 where nothing closer fits).
+    `what` describes the error, `where` names the header or the part of the message, `status` is the response code
+    that RFC 3261 section 8.2 prescribes for such a request (400 where no other code is closer).
     """
 
     def __init__(self, what, where="", status=400):
         super().__init__(f"{where}: {what}" if where else what)
         self.what, self.where, self.status = what, where, status
-        self.message = None  # what could be read all the same, to answer it
+        self.message = None  # the message as far as it was parsed, from which an error response can be built
--- a/thorndale/sip/framing.py
+++ b/thorndale/sip/framing.py
@@ -1,86 +1,88 @@
-"""Messages out of a stream of bytes, by Content-Length (RFC 3261 section 18.3), with bounds.
+"""Splits a byte stream into messages by Content-Length (RFC 3261 section 18.3), with size limits.
 
-`Framer` takes bytes as they come and gives back whole messages, keep-alives and faults. After a fault that
-leaves the next message's start unknown, the stream is of no use and the connection must be closed.
+`Framer` accepts bytes in any pieces and returns complete messages and keep-alives. After a SipError the start of the
+next message is unknown, so the connection must be closed.
 """
 
 from thorndale.sip.errors import SipError
 from thorndale.sip.message import MAX_BODY, MAX_HEAD
 
 KEEPALIVE = b"\r\n\r\n"  # RFC 5626 section 4.4.1: answered with one CRLF
-_LENGTH = (b"content-length", b"l")
+_LENGTH_NAMES = (b"content-length", b"l")
 
 
 class Framer:
-    """`feed(data)` gives the whole messages so far, as bytes, and `KEEPALIVE` for each ping.
+    """`feed(data)` returns the messages completed so far, as bytes, and `KEEPALIVE` for each ping.
 
-    It holds at most MAX_HEAD + MAX_BODY bytes; a message over a bound raises SipError.
+    The buffer holds at most MAX_HEAD + MAX_BODY bytes; a message above a limit raises SipError.
     """
 
-    __slots__ = ("_held", "_need", "_looked")
+    # _message_length: length of the message at the start of the buffer, 0 while its header is incomplete.
+    # _scanned: bytes already searched for the end of the header.
+    __slots__ = ("_buffer", "_message_length", "_scanned")
 
     def __init__(self):
-        self._held, self._need, self._looked = bytearray(), 0, 0
+        self._buffer, self._message_length, self._scanned = bytearray(), 0, 0
 
     @property
     def partial(self):
-        """Whether part of a message waits for the rest."""
-        return bool(self._held)
+        """Whether the buffer holds an incomplete message."""
+        return bool(self._buffer)
 
     @property
     def held(self):
-        """The bytes of that part."""
-        return self._held
+        """The bytes of the incomplete message."""
+        return self._buffer
 
     def feed(self, data):
-        held, out = self._held, []
-        held += data
-        while held:
-            if not self._need:
-                if held[0] in b"\r\n":
-                    if held.startswith(KEEPALIVE):
-                        out.append(KEEPALIVE)
-                        del held[:4]
+        buffer, messages = self._buffer, []
+        buffer += data
+        while buffer:
+            if not self._message_length:
+                if buffer[0] in b"\r\n":
+                    if buffer.startswith(KEEPALIVE):
+                        messages.append(KEEPALIVE)
+                        del buffer[:4]
                         continue
-                    if held[:2] == b"\r\n" and len(held) < 4:
-                        if len(held) == 3 and held[2:3] != b"\r":
-                            del held[:2]
+                    if buffer[:2] == b"\r\n" and len(buffer) < 4:
+                        if len(buffer) == 3 and buffer[2:3] != b"\r":
+                            del buffer[:2]
                             continue
-                        break  # it may become a keep-alive
-                    if held[:2] == b"\r\n":
-                        del held[:2]
+                        break  # may be the start of a keep-alive
+                    if buffer[:2] == b"\r\n":
+                        del buffer[:2]
                         continue
-                    if len(held) == 1:
+                    if len(buffer) == 1:
                         break
                     raise SipError("a bare line end between messages", "stream")
-                end = held.find(b"\r\n\r\n", max(0, self._looked - 3))
+                end = buffer.find(b"\r\n\r\n", max(0, self._scanned - 3))
                 if end < 0:
-                    self._looked = len(held)
-                    if len(held) > MAX_HEAD:
+                    self._scanned = len(buffer)
+                    if len(buffer) > MAX_HEAD:
                         raise SipError(f"more than {MAX_HEAD} bytes of header fields", "stream", 513)
                     break
                 if end > MAX_HEAD:
                     raise SipError(f"more than {MAX_HEAD} bytes of header fields", "stream", 513)
-                self._need = end + 4 + _body_length(bytes(held[:end]))
-            if len(held) < self._need:
+                self._message_length = end + 4 + _body_length(bytes(buffer[:end]))
+            if len(buffer) < self._message_length:
                 break
-            out.append(bytes(held[: self._need]))
-            del held[: self._need]
-            self._need = self._looked = 0
-        return out
+            messages.append(bytes(buffer[: self._message_length]))
+            del buffer[: self._message_length]
+            self._message_length = self._scanned = 0
+        return messages
 
 
 def _body_length(head):
-    found = -1
+    length = -1
     for line in head.split(b"\r\n")[1:]:
         name, colon, value = line.partition(b":")
-        if colon and name.strip().lower() in _LENGTH:
+        if colon and name.strip().lower() in _LENGTH_NAMES:
             value = value.strip()
             if not value.isdigit() or len(value) > 9:
-                raise SipError("no whole number", "Content-Length")
-            if found >= 0 and found != int(value):
-                raise SipError("two that differ", "Content-Length")
-            found = int(value)
-    if found > MAX_BODY:
+                raise SipError("not a non-negative integer", "Content-Length")
+            if length >= 0 and length != int(value):
+                raise SipError("two different values", "Content-Length")
+            length = int(value)
+    if length > MAX_BODY:
         raise SipError(f"more than {MAX_BODY} bytes", "Content-Length", 513)
-    return max(found, 0)
+    return max(length, 0)
--- a/thorndale/sip/headers.py
+++ b/thorndale/sip/headers.py
@@ -1,30 +1,30 @@
-"""The grammar inside header values (RFC 3261 section 25): lists, parameters, addresses, Via, CSeq.
+"""Parsers for header values (RFC 3261 section 25): lists, parameters, addresses, Via, CSeq.
 
-Everything works on text and is called only for the headers that somebody asks for.
+All of them work on text and run only for the headers that a caller reads, since parsing is on the hot path.
 """
 
 from typing import NamedTuple
 
 from thorndale.sip.errors import SipError
 
-TOKEN = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-.!%*_+`'~")
-CSEQ_MOST = (1 << 31) - 1  # RFC 3261 section 8.1.1.5: less than 2**31
-MAX_PARAMS = 64  # parameters of one value; more is an attack or a fault, and costs time to no end
+TOKEN_CHARS = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-.!%*_+`'~")
+MAX_CSEQ = (1 << 31) - 1  # RFC 3261 section 8.1.1.5: less than 2**31
+MAX_PARAMS = 64  # of one value; more is an attack or an error, and would cost unbounded parsing time
 
 
 def is_token(text):
     """Whether `text` is a token (RFC 3261 section 25.1)."""
-    return bool(text) and TOKEN.issuperset(text)
+    return bool(text) and TOKEN_CHARS.issuperset(text)
 
 
 def split_list(value, separator=","):
-    """The parts of a list, split outside quotes and angle brackets; empty parts are left out."""
+    """Splits a list at separators outside quotes and angle brackets; empty items are dropped."""
     if separator not in value:
-        part = value.strip()
-        return [part] if part else []
+        item = value.strip()
+        return [item] if item else []
     if '"' not in value and "<" not in value:
-        return [p for p in map(str.strip, value.split(separator)) if p]
-    parts, start, quoted, angle, at = [], 0, False, 0, 0
+        return [i for i in map(str.strip, value.split(separator)) if i]
+    items, start, quoted, angle_depth, at = [], 0, False, 0, 0
     while at < len(value):
         c = value[at]
         if quoted:
@@ -35,34 +35,34 @@
         elif c == '"':
             quoted = True
         elif c == "<":
-            angle += 1
+            angle_depth += 1
         elif c == ">":
-            angle = max(0, angle - 1)
-        elif c == separator and not angle:
-            parts.append(value[start:at].strip())
+            angle_depth = max(0, angle_depth - 1)
+        elif c == separator and not angle_depth:
+            items.append(value[start:at].strip())
             start = at + 1
         at += 1
     if quoted:
-        raise SipError("a quoted string has no end")
-    parts.append(value[start:].strip())
-    return [p for p in parts if p]
+        raise SipError("unterminated quoted string")
+    items.append(value[start:].strip())
+    return [i for i in items if i]
 
 
 def unquote(text):
-    """The content of a quoted string, escapes resolved; other text as it is."""
+    """The content of a quoted string with escapes resolved; any other text unchanged."""
     if len(text) < 2 or text[0] != '"' or text[-1] != '"':
         return text
     if "\\" not in text:
         return text[1:-1]
-    out, at, inner = [], 0, text[1:-1]
+    chars, at, inner = [], 0, text[1:-1]
     while at < len(inner):
         if inner[at] == "\\":
             at += 1
             if at == len(inner):
                 break
-        out.append(inner[at])
+        chars.append(inner[at])
         at += 1
-    return "".join(out)
+    return "".join(chars)
 
 
 def quote(text):
@@ -71,22 +71,25 @@
 
 
 def parse_params(text):
-    """`;a=b;c` to a map of lower-case names to values ('' for a parameter without one); the first counts."""
-    found = {}
+    """Parses `;a=b;c` into a map of lower-case names to values ('' for a parameter without a value).
+
+    Of several parameters with one name the first is used.
+    """
+    params = {}
     parts = split_list(text, ";") if '"' in text or "<" in text else text.split(";")
     if len(parts) > MAX_PARAMS:
         raise SipError(f"more than {MAX_PARAMS} parameters")
     for part in parts:
         name, _, value = part.partition("=")
         name = name.strip().lower()
-        if name and name not in found:
+        if name and name not in params:
             value = value.strip()
-            found[name] = unquote(value) if value[:1] == '"' else value
-    return found
+            params[name] = unquote(value) if value[:1] == '"' else value
+    return params
 
 
 class Address(NamedTuple):
-    """A name-addr or addr-spec (RFC 3261 section 20.10): `uri` is still text, `params` the header's own."""
+    """A name-addr or addr-spec (RFC 3261 section 20.10): `uri` is unparsed text, `params` belong to the header."""
 
     display: str
     uri: str
@@ -94,48 +97,48 @@
 
 
 def parse_address(value, where="address"):
-    """A From, To, Contact, Route or Refer-To value. Raises SipError."""
+    """Parses a From, To, Contact, Route or Refer-To value. Raises SipError."""
     value = value.strip()
     at = 0
-    if value[:1] == "<":  # the usual form, at once
-        right = value.find(">")
-        uri, rest = value[1:right], value[right + 1 :].lstrip()
-        if right > 1 and " " not in uri and rest[:1] in (";", ""):
+    if value[:1] == "<":  # fast path for the usual form
+        closing = value.find(">")
+        uri, rest = value[1:closing], value[closing + 1 :].lstrip()
+        if closing > 1 and " " not in uri and rest[:1] in (";", ""):
             return Address("", uri, parse_params(rest[1:]) if rest else {})
     if value.startswith('"'):
         at = 1
         while at < len(value) and value[at] != '"':
             at += 2 if value[at] == "\\" else 1
         if at >= len(value):
-            raise SipError("a quoted display name has no end", where)
+            raise SipError("unterminated quoted display name", where)
         at += 1
-    left = value.find("<", at)
-    if left < 0:
+    opening = value.find("<", at)
+    if opening < 0:
         if at:
-            raise SipError("a display name stands without <...>", where)
+            raise SipError("a display name requires <...> around the URI", where)
         uri, semicolon, rest = value.partition(";")
         if "," in uri or "?" in uri:
-            raise SipError("a URI with ',' or '?' must stand in <...>", where)
+            raise SipError("a URI with ',' or '?' must be enclosed in <...>", where)
         uri = uri.strip()
         if not uri or " " in uri:
             raise SipError("no URI", where)
         return Address("", uri, parse_params(rest) if semicolon else {})
-    right = value.find(">", left)
-    if right < 0:
+    closing = value.find(">", opening)
+    if closing < 0:
         raise SipError("'<' has no '>'", where)
-    display, rest = value[:left].strip(), value[right + 1 :].strip()
+    display, rest = value[:opening].strip(), value[closing + 1 :].strip()
     if rest and rest[0] != ";":
         raise SipError("text after '>'", where)
     if not display.startswith('"') and display and not all(is_token(w) for w in display.split()):
-        raise SipError("the display name needs quotes", where)
-    uri = value[left + 1 : right]
+        raise SipError("the display name must be quoted", where)
+    uri = value[opening + 1 : closing]
     if not uri or uri != uri.strip() or " " in uri:
         raise SipError("the URI holds spaces or nothing", where)
     return Address(unquote(display), uri, parse_params(rest[1:]) if rest else {})
 
 
 class Via(NamedTuple):
-    """One Via value (RFC 3261 section 20.42). `port` is 0 where none is written."""
+    """One Via value (RFC 3261 section 20.42). `port` is 0 if the value has none."""
 
     transport: str
     host: str
@@ -144,7 +147,7 @@
 
 
 def parse_host_port(text, where):
-    """host, port of `host[:port]`, IPv6 in brackets; port 0 where none is written. Raises SipError."""
+    """Parses `host[:port]`, IPv6 in brackets, into (host, port); port is 0 if absent. Raises SipError."""
     if text.startswith("["):
         host, bracket, rest = text[1:].partition("]")
         if not bracket or (rest and not rest.startswith(":")):
@@ -160,14 +163,14 @@
     if not rest:
         return host, 0
     if not port.isascii() or not port.isdigit() or not 0 < int(port[:6]) < 65536:
-        raise SipError("no port number", where)
+        raise SipError("invalid port number", where)
     return host, int(port)
 
 
 def parse_via(value):
-    """`SIP/2.0/UDP host:port;params`, spaces allowed round each '/'. Raises SipError."""
+    """Parses `SIP/2.0/UDP host:port;params`, with spaces allowed around each '/'. Raises SipError."""
     sent, semicolon, rest = value.partition(";")
-    if sent[:8] == "SIP/2.0/":  # the usual form, at once
+    if sent[:8] == "SIP/2.0/":  # fast path for the usual form
         transport, _, address = sent[8:].partition(" ")
         if transport.isalpha() and address:
             host, port = parse_host_port(address.strip(), "Via")
@@ -183,51 +186,51 @@
 
 
 def parse_cseq(value):
-    """number, method of a CSeq. Raises SipError."""
+    """Parses a CSeq into (number, method). Raises SipError."""
     parts = value.split()
     if len(parts) != 2 or not parts[0].isascii() or not parts[0].isdigit() or not is_token(parts[1]):
         raise SipError("not 'NUMBER METHOD'", "CSeq")
-    if len(parts[0]) > 10 or int(parts[0]) > CSEQ_MOST:
+    if len(parts[0]) > 10 or int(parts[0]) > MAX_CSEQ:
         raise SipError("the number is 2**31 or more", "CSeq")
     return int(parts[0]), parts[1]
 
 
-def parse_count(value, where, most=(1 << 32) - 1):
-    """A whole number from 0 to `most`. Raises SipError."""
+def parse_count(value, where, maximum=(1 << 32) - 1):
+    """Parses an integer from 0 to `maximum`. Raises SipError."""
     value = value.strip()
-    if not value.isascii() or not value.isdigit() or len(value) > 20 or int(value) > most:
-        raise SipError(f"no whole number up to {most}", where)
+    if not value.isascii() or not value.isdigit() or len(value) > 20 or int(value) > maximum:
+        raise SipError(f"not an integer from 0 to {maximum}", where)
     return int(value)
 
 
 def parse_retry_after(value):
-    """Seconds of a Retry-After (RFC 3261 section 20.33), its comment and parameters passed over; 0: none."""
-    digits = value.strip()
+    """Seconds of a Retry-After (RFC 3261 section 20.33) without its comment and parameters; 0 if there is no number."""
+    text = value.strip()
     end = 0
-    while end < len(digits) and digits[end].isascii() and digits[end].isdigit():
+    while end < len(text) and text[end].isascii() and text[end].isdigit():
         end += 1
-    return min(int(digits[:end][:9]), (1 << 31) - 1) if end else 0
+    return min(int(text[:end][:9]), (1 << 31) - 1) if end else 0
 
 
 class Reason(NamedTuple):
-    """One Reason value (RFC 3326). `location`: where a Q.850 cause arose (RFC 8606), '' where it does not say."""
+    """One Reason value (RFC 3326). `location`: where a Q.850 cause arose (RFC 8606), '' if not given."""
 
     cause: int
     location: str = ""
 
 
 def parse_reasons(values):
-    """protocol: Reason, the protocol in lower case; unreadable ones are left out."""
-    found = {}
+    """Maps each protocol, in lower case, to its first Reason; malformed values are skipped."""
+    reasons = {}
     for value in values:
         try:
             for part in split_list(value):
                 protocol, _, rest = part.partition(";")
-                parameters = parse_params(rest)
-                cause = parameters.get("cause", "")
+                params = parse_params(rest)
+                cause = params.get("cause", "")
                 if cause.isascii() and cause.isdigit() and len(cause) < 5:
-                    reason = Reason(int(cause), parameters.get("location", "").upper())
-                    found.setdefault(protocol.strip().lower(), reason)
+                    reason = Reason(int(cause), params.get("location", "").upper())
+                    reasons.setdefault(protocol.strip().lower(), reason)
         except SipError:
             continue
-    return found
+    return reasons
--- a/thorndale/sip/message.py
+++ b/thorndale/sip/message.py
@@ -1,19 +1,19 @@
-"""Messages (RFC 3261 section 7): parsed only as far as asked for, since this is the hot path.
+"""Messages (RFC 3261 section 7), parsed lazily, since this is the hot path.
 
-A message keeps its header fields in order, as they came. What is inside a value is read when somebody asks
-and then kept. Text is UTF-8; bytes that are not stay as surrogates and go out as they came.
+A message keeps its header fields in the order received. A value is parsed on first access and the result is cached.
+Text is UTF-8; invalid bytes are kept as surrogates and sent unchanged.
 """
 
 from thorndale.sip import headers as h
 from thorndale.sip.errors import SipError
 
-MAX_HEAD = 16_384  # bytes of start line and header fields together: several times the largest seen in use
-MAX_BODY = 65_536  # bytes; a session body is some hundred
+MAX_HEAD = 16_384  # bytes of start line and header fields together: several times the largest observed in use
+MAX_BODY = 65_536  # bytes; a session description has a few hundred
 MAX_FIELDS = 256  # header fields of one message
-UNFIT = frozenset('<>"\t\n\r')
+FORBIDDEN_URI_CHARS = frozenset('<>"\t\n\r')
 VERSION = "SIP/2.0"
 
-COMPACT = {  # RFC 3261 section 20 and the registry of SIP header fields
+COMPACT_FORMS = {  # RFC 3261 section 20 and the registry of SIP header fields
     "i": "call-id",
     "m": "contact",
     "e": "content-encoding",
@@ -34,7 +34,7 @@
     "d": "request-disposition",
     "y": "identity",
 }
-LISTED = frozenset(
+LIST_HEADERS = frozenset(
     (
         "via",
         "route",
@@ -48,8 +48,8 @@
         "accept",
     )
 )
-NEEDED = frozenset(("via", "from", "to", "call-id", "cseq"))
-ONCE = frozenset(("from", "to", "call-id", "cseq", "content-length", "max-forwards"))
+REQUIRED_HEADERS = frozenset(("via", "from", "to", "call-id", "cseq"))
+SINGLE_HEADERS = frozenset(("from", "to", "call-id", "cseq", "content-length", "max-forwards"))
 REASONS = {
     100: "Trying",
     180: "Ringing",
@@ -87,25 +87,25 @@
     600: "Busy Everywhere",
     603: "Decline",
 }
-_KEYS = {}  # header names as written: their key; bounded, since peers choose the names
-_KEYS_MOST = 1024
+_HEADER_KEYS = {}  # cache from header names as written to keys; bounded, since peers choose the names
+_MAX_HEADER_KEYS = 1024
 
 
 def key_of(name):
-    """The one key of a header name: lower case, compact forms resolved. Raises SipError for no token."""
-    key = _KEYS.get(name)
+    """The canonical key of a header name: lower case, compact forms expanded. Raises SipError if it is not a token."""
+    key = _HEADER_KEYS.get(name)
     if key is None:
         key = name.rstrip(" \t").lower()
         if not h.is_token(key):
-            raise SipError(f"no header name: {name[:30]!r}", "header")
-        key = COMPACT.get(key, key)
-        if len(_KEYS) < _KEYS_MOST:
-            _KEYS[name] = key
+            raise SipError(f"invalid header name: {name[:30]!r}", "header")
+        key = COMPACT_FORMS.get(key, key)
+        if len(_HEADER_KEYS) < _MAX_HEADER_KEYS:
+            _HEADER_KEYS[name] = key
     return key
 
 
 class Message:
-    """A request (`method` and `uri`) or a response (`status` and `reason`; `method` is then '').
+    """A request (`method` and `uri`) or a response (`status` and `reason`; `method` is '').
 
     `fields` is a list of (key, name as written, value); `body` is bytes.
     """
@@ -128,15 +128,15 @@
         return any(field[0] == key for field in self.fields)
 
     def all(self, key):
-        """All values under `key`, each line split where the header is a list."""
-        found = []
+        """All values under `key`; a field that holds a list is split into its items."""
+        values = []
         for field in self.fields:
             if field[0] == key:
-                if key in LISTED:
-                    found += h.split_list(field[2])
+                if key in LIST_HEADERS:
+                    values += h.split_list(field[2])
                 else:
-                    found.append(field[2])
-        return found
+                    values.append(field[2])
+        return values
 
     @property
     def via(self):
@@ -148,7 +148,7 @@
 
     @property
     def cseq(self):
-        """number, method. Raises SipError."""
+        """(number, method). Raises SipError."""
         if self._cseq is None:
             self._cseq = h.parse_cseq(self.get("cseq"))
         return self._cseq
@@ -165,8 +165,8 @@
             self._to = h.parse_address(self.get("to"), "To")
         return self._to
 
-    def forget(self):
-        """What was read of the values is void: the fields were changed."""
+    def clear_cache(self):
+        """Discards the cached values, after the fields have changed."""
         self._via = self._cseq = self._from = self._to = None
 
     @property
@@ -192,7 +192,7 @@
         return self
 
     def set(self, name, value):
-        """Replaces all fields of this name by one, at the place of the first; appends where there is none."""
+        """Replaces all fields of this name by one, at the position of the first; appends it if there is none."""
         key = key_of(name)
         for at, field in enumerate(self.fields):
             if field[0] == key:
@@ -201,24 +201,24 @@
                 break
         else:
             self.fields.append((key, name, value))
-        self.forget()
+        self.clear_cache()
         return self
 
     def encode(self):
-        """The message as bytes, its Content-Length made to fit."""
-        first = f"{self.method} {self.uri} SIP/2.0" if self.method else f"SIP/2.0 {self.status} {self.reason}"
-        lines = [first]
+        """The message as bytes, with the Content-Length of its body."""
+        start_line = f"{self.method} {self.uri} SIP/2.0" if self.method else f"SIP/2.0 {self.status} {self.reason}"
+        lines = [start_line]
         lines += [f"{name}: {value}" for key, name, value in self.fields if key != "content-length"]
         lines.append(f"Content-Length: {len(self.body)}\r\n\r\n")
         return "\r\n".join(lines).encode("utf-8", "surrogateescape") + self.body
 
 
 def parse(data, stream=False):
-    """One message from bytes: a datagram, or with `stream` exactly one framed message.
+    """Parses one message from bytes: a datagram or, with `stream`, exactly one framed message.
 
-    Raises SipError; its `message` is what could be read, enough to answer it, or None. The syntax of the start
-    line and of the header fields' outside is checked, and the body cut to its Content-Length (RFC 3261 section
-    18.3); what is inside the values is checked by `check`.
+    Checks the syntax of the start line and of the header lines, and cuts the body to its Content-Length (RFC 3261
+    section 18.3); `check` validates the header values. Raises SipError; its `message` is the part that could be
+    parsed, sufficient for an error response, or None.
     """
     if data[:2] == b"\r\n":
         data = bytes(data).lstrip(b"\r\n")  # RFC 3261 section 7.5: empty lines before the start line
@@ -231,13 +231,13 @@
     if "\r\n " in head or "\r\n\t" in head:
         head = head.replace("\r\n\t", "\r\n ")
         first, *rest = head.split("\r\n ")
-        head = " ".join([first.rstrip(" \t"), *(r.strip(" \t") for r in rest)])
+        head = " ".join([first.rstrip(" \t"), *(continuation.strip(" \t") for continuation in rest)])
     lines = head.split("\r\n")
     if len(lines) > MAX_FIELDS:
         raise SipError(f"more than {MAX_FIELDS} header fields", "message", 513)
-    message, fault = _start(lines[0])
+    message, error = _parse_start_line(lines[0])
     fields = message.fields
-    keys = _KEYS
+    keys = _HEADER_KEYS
     for line in lines[1:]:
         name, colon, value = line.partition(":")
         try:
@@ -246,38 +246,38 @@
             if "\n" in value or "\r" in value or "\0" in value:
                 raise SipError("a bare line end or NUL inside", name[:30])
             fields.append((keys.get(name) or key_of(name), name.rstrip(" \t"), value.strip(" \t")))
-        except SipError as bad:
-            fault = fault or bad
-    if fault is not None:
-        fault.message = message
-        raise fault
+        except SipError as field_error:
+            error = error or field_error
+    if error is not None:
+        error.message = message
+        raise error
     try:
-        message.body = _body(message, bytes(data[end + 4 :]), stream)
-    except SipError as bad:
-        bad.message = message
+        message.body = _cut_body(message, bytes(data[end + 4 :]), stream)
+    except SipError as body_error:
+        body_error.message = message
         raise
     return message
 
 
-def _body(message, body, stream):
-    said = message.get("content-length")
-    if said:
-        length = h.parse_count(said, "Content-Length", MAX_BODY)
+def _cut_body(message, body, stream):
+    content_length = message.get("content-length")
+    if content_length:
+        length = h.parse_count(content_length, "Content-Length", MAX_BODY)
         if length > len(body):
-            raise SipError(f"{length} bytes said, {len(body)} there", "Content-Length")
+            raise SipError(f"{length} bytes declared, {len(body)} received", "Content-Length")
         return body[:length]
     if stream and body:
-        raise SipError("needed on a stream", "Content-Length")
+        raise SipError("required on a stream", "Content-Length")
     return body
 
 
-def _start(line):
-    """The message of a start line, and the fault of one that can be answered all the same."""
+def _parse_start_line(line):
+    """(message, error): an error is returned, not raised, if the request can still be answered."""
     if line.startswith("SIP/"):
         version, _, rest = line.partition(" ")
         status, _, reason = rest.partition(" ")
         if version != VERSION or len(status) != 3 or not (status.isascii() and status.isdigit()):
-            raise SipError(f"no status line: {line[:40]!r}", "start line")
+            raise SipError(f"invalid status line: {line[:40]!r}", "start line")
         if not 100 <= int(status) <= 699:
             raise SipError(f"status {status}", "start line")
         if "\n" in reason or "\r" in reason:
@@ -285,41 +285,46 @@
         return Message(status=int(status), reason=reason), None
     parts = line.split(" ")
     if len(parts) != 3 or not h.is_token(parts[0]) or not parts[1]:
-        raise SipError(f"no 'METHOD URI VERSION': {line[:40]!r}", "start line")
-    version, fault = parts[2], None
+        raise SipError(f"not 'METHOD URI VERSION': {line[:40]!r}", "start line")
+    version, error = parts[2], None
     if version.upper() != VERSION:
-        odd = version.upper().startswith("SIP/")
-        fault = SipError(f"version {version[:20]!r}", "start line", 505 if odd else 400)
-    elif not UNFIT.isdisjoint(parts[1]):
-        fault = SipError("a bracket, quote or space in the Request-URI", "start line")
-    return Message(method=parts[0], uri=parts[1]), fault
+        other_version = version.upper().startswith("SIP/")
+        error = SipError(f"version {version[:20]!r}", "start line", 505 if other_version else 400)
+    elif not FORBIDDEN_URI_CHARS.isdisjoint(parts[1]):
+        error = SipError("a bracket, quote or space in the Request-URI", "start line")
+    return Message(method=parts[0], uri=parts[1]), error
 
 
 def check(message):
-    """What every message must hold (RFC 3261 sections 8.1.1 and 8.2). Raises SipError with the status due."""
-    found = set()
+    """Validates what every message must contain (RFC 3261 sections 8.1.1 and 8.2).
+
+    Raises SipError with the status of the response.
+    """
+    present = set()
     for key, _, _ in message.fields:
-        if key in ONCE and key in found:
-            raise SipError("stands more than once", key)
-        found.add(key)
-    if not found.issuperset(NEEDED):
-        raise SipError("is missing", sorted(NEEDED - found)[0])
+        if key in SINGLE_HEADERS and key in present:
+            raise SipError("occurs more than once", key)
+        present.add(key)
+    if not present.issuperset(REQUIRED_HEADERS):
+        raise SipError("is missing", sorted(REQUIRED_HEADERS - present)[0])
     if not message.call_id or " " in message.call_id:
-        raise SipError("is no word", "Call-ID")
+        raise SipError("is empty or contains a space", "Call-ID")
     number, method = message.cseq
     if message.method and method != message.method:
         raise SipError(f"{method[:20]} in a {message.method[:20]}", "CSeq")
-    message.via, message.from_, message.to  # noqa: B018 - each parses its value
-    if message.method == "INVITE" and "contact" in found:
+    message.via, message.from_, message.to  # noqa: B018 - each access parses and checks its value
+    if message.method == "INVITE" and "contact" in present:
         message.contact  # noqa: B018
-    if "max-forwards" in found:
+    if "max-forwards" in present:
         h.parse_count(message.get("max-forwards"), "Max-Forwards", 255)
     return number
 
 
 def response_to(request, status, to_tag="", reason="", extra=(), body=b""):
-    """A response (RFC 3261 section 8.2.6): Via, From, To, Call-ID and CSeq from the request, then `extra`
-    (pairs of name and value)."""
+    """A response (RFC 3261 section 8.2.6): Via, From, To, Call-ID and CSeq of the request, then `extra`.
+
+    `extra` is pairs of header name and value.
+    """
     fields = []
     for field in request.fields:
         key = field[0]
@@ -327,7 +332,7 @@
             fields.append(field)
         elif key == "to":
             value = field[2]
-            if to_tag and status > 100 and ";tag=" not in value and not _tagged(request):
+            if to_tag and status > 100 and ";tag=" not in value and not _has_to_tag(request):
                 value = f"{value};tag={to_tag}"
             fields.append((key, "To", value))
         elif key == "timestamp" and status == 100:
@@ -337,7 +342,7 @@
     return Message("", "", status, reason or REASONS.get(status, "Unknown"), fields, body)
 
 
-def _tagged(request):
+def _has_to_tag(request):
     try:
         return bool(request.to_tag)
     except SipError:
@@ -345,18 +350,18 @@
 
 
 def received_from(message, host, port):
-    """Notes on the top Via where the request came from: `received` (RFC 3261 section 18.2.1) and `rport`
+    """Adds the source of the request to its top Via: `received` (RFC 3261 section 18.2.1) and `rport`
     (RFC 3581 section 4). Raises SipError."""
     via = message.via
-    wants = via.params.get("rport") == "" and "rport" in via.params
-    if not wants and via.host == host:
+    rport_requested = via.params.get("rport") == "" and "rport" in via.params
+    if not rport_requested and via.host == host:
         return
     for at, field in enumerate(message.fields):
         if field[0] == "via":
             first, *rest = h.split_list(field[2]) if "," in field[2] else (field[2],)
-            if wants:
-                pieces = first.split(";")
-                first = ";".join([f"rport={port}" if p.strip().lower() == "rport" else p for p in pieces])
+            if rport_requested:
+                params = first.split(";")
+                first = ";".join([f"rport={port}" if p.strip().lower() == "rport" else p for p in params])
                 via.params["rport"] = str(port)
             via.params["received"] = host
             message.fields[at] = ("via", field[1], ", ".join([f"{first};received={host}", *rest]))
@@ -364,7 +369,7 @@
 
 
 def reply_address(message):
-    """host, port to which a response to this request goes over UDP (RFC 3261 18.2.2, RFC 3581 section 4)."""
+    """(host, port) for a response over UDP to this request (RFC 3261 section 18.2.2, RFC 3581 section 4)."""
     via = message.via
     host = via.params.get("maddr") or via.params.get("received") or via.host
     rport = via.params.get("rport", "")
--- a/thorndale/sip/transaction.py
+++ b/thorndale/sip/transaction.py
@@ -1,21 +1,21 @@
-"""The four transactions of RFC 3261 section 17 with the repair of RFC 6026, as tables.
-
-A row reads: in this state, on this event, go to that state and do these things, in order. `Layer` finds the
-transaction a message belongs to and makes new ones; what is to be sent goes to its `send(hop, bytes)`.
-
-A hop is (transport, host, port, connection): connection 0 for a datagram or for whatever connection to that
-address the net has or opens; else the connection that a message came by.
-
-A user of a client transaction has
-    response(now, transaction, message)     each response, 2xx of an INVITE also repeated
-    failed(now, transaction, kind)          'timeout' (timers B, F), 'refused' (never sent), 'lost' (may have been)
-of a server transaction
-    failed(now, transaction, kind)          'no ack' (timer H), 'lost' (its connection before the final answer)
-and the layer's user
-    request(now, transaction, message)      a new request that is no ACK
-    ack(now, message, hop)                  an ACK that belongs to no refusal: of a 2xx, or a stray
-    stray(now, message, hop)                a response that belongs to no transaction
-    full(now, message, hop)                 a new request while the bound on transactions is reached
+"""The four transaction state machines of RFC 3261 section 17, with the corrections of RFC 6026, as tables.
+
+A row maps (state, event) to (next state, actions in order). `Layer` matches messages to transactions
+and creates new ones; it sends through its `send(hop, bytes)`.
+
+A hop is (transport, host, port, connection). Connection 0 stands for a datagram, or for any connection to that address
+that the network layer has or opens; another number is the connection on which a message arrived.
+
+The transaction user (RFC 3261 section 17) is called back. For a client transaction:
+    response(now, transaction, message)     each response, including retransmitted 2xx of an INVITE
+    failed(now, transaction, kind)          'timeout' (timers B, F), 'refused' (not sent), 'lost' (possibly sent)
+For a server transaction:
+    failed(now, transaction, kind)          'no ack' (timer H), 'lost' (connection lost before the final response)
+The user of the layer:
+    request(now, transaction, message)      a new request other than ACK
+    ack(now, message, hop)                  an ACK that matches no non-2xx response: for a 2xx, or stray
+    stray(now, message, hop)                a response that matches no transaction
+    full(now, message, hop)                 a new request while the limit on transactions is reached
 """
 
 from typing import NamedTuple
@@ -23,7 +23,7 @@
 from thorndale.sip.errors import SipError
 from thorndale.sip.message import Message, response_to
 
-COOKIE = "z9hG4bK"  # RFC 3261 section 8.1.1.7
+BRANCH_COOKIE = "z9hG4bK"  # start of every RFC 3261 branch (section 8.1.1.7)
 
 
 class Hop(NamedTuple):
@@ -34,12 +34,12 @@
 
 
 class Times(NamedTuple):
-    """RFC 3261 section 17.1.1.1, in microseconds."""
+    """Timer values (RFC 3261 section 17.1.1.1), in microseconds."""
 
     t1: int = 500_000
     t2: int = 4_000_000
     t4: int = 5_000_000
-    d: int = 32_000_000  # timer D on datagrams: at least 32 s
+    timer_d: int = 32_000_000  # on datagrams; RFC 3261 requires at least 32 s
 
     @property
     def most(self):
@@ -47,77 +47,77 @@
         return 64 * self.t1
 
 
-# 17.1.1.2, figure 5, with RFC 6026 section 8.4's "accepted". "quiet": the user has given the INVITE up before
-# any answer, so that it is repeated no more; what still comes is told all the same.
+# RFC 3261 section 17.1.1.2, figure 5, with the "accepted" state of RFC 6026 section 8.4. "stop retransmission":
+# the user abandons the INVITE before any response; responses that still arrive are delivered.
 INVITE_CLIENT = {
-    ("calling", "timer A"): ("calling", ("resend", "next A")),
-    ("calling", "timer B"): ("terminated", ("timeout",)),
-    ("calling", "1xx"): ("proceeding", ("stop A", "stop B", "tell")),
-    ("calling", "2xx"): ("accepted", ("stop A", "stop B", "start M", "tell")),
-    ("calling", "300-699"): ("completed", ("stop A", "stop B", "ack", "start D", "tell")),
-    ("calling", "refused"): ("terminated", ("tell refused",)),
-    ("calling", "lost"): ("terminated", ("tell lost",)),
-    ("calling", "quiet"): ("calling", ("stop A",)),
-    ("proceeding", "1xx"): ("proceeding", ("tell",)),
-    ("proceeding", "2xx"): ("accepted", ("start M", "tell")),
-    ("proceeding", "300-699"): ("completed", ("ack", "start D", "tell")),
-    ("proceeding", "refused"): ("terminated", ("tell lost",)),
-    ("proceeding", "lost"): ("terminated", ("tell lost",)),
+    ("calling", "timer A"): ("calling", ("retransmit", "restart A")),
+    ("calling", "timer B"): ("terminated", ("report timeout",)),
+    ("calling", "1xx"): ("proceeding", ("stop A", "stop B", "deliver")),
+    ("calling", "2xx"): ("accepted", ("stop A", "stop B", "start M", "deliver")),
+    ("calling", "300-699"): ("completed", ("stop A", "stop B", "ack", "start D", "deliver")),
+    ("calling", "refused"): ("terminated", ("report refused",)),
+    ("calling", "lost"): ("terminated", ("report lost",)),
+    ("calling", "stop retransmission"): ("calling", ("stop A",)),
+    ("proceeding", "1xx"): ("proceeding", ("deliver",)),
+    ("proceeding", "2xx"): ("accepted", ("start M", "deliver")),
+    ("proceeding", "300-699"): ("completed", ("ack", "start D", "deliver")),
+    ("proceeding", "refused"): ("terminated", ("report lost",)),
+    ("proceeding", "lost"): ("terminated", ("report lost",)),
     ("completed", "300-699"): ("completed", ("ack",)),
     ("completed", "timer D"): ("terminated", ()),
     ("completed", "refused"): ("terminated", ()),
     ("completed", "lost"): ("terminated", ()),
-    ("accepted", "2xx"): ("accepted", ("tell",)),
+    ("accepted", "2xx"): ("accepted", ("deliver",)),
     ("accepted", "timer M"): ("terminated", ()),
 }
-# 17.1.2.2, figure 6.
+# RFC 3261 section 17.1.2.2, figure 6.
 CLIENT = {
-    ("trying", "timer E"): ("trying", ("resend", "next E")),
-    ("trying", "timer F"): ("terminated", ("timeout",)),
-    ("trying", "1xx"): ("proceeding", ("tell",)),
-    ("trying", "2xx"): ("completed", ("stop E", "stop F", "start K", "tell", "slim")),
-    ("trying", "300-699"): ("completed", ("stop E", "stop F", "start K", "tell", "slim")),
-    ("trying", "refused"): ("terminated", ("tell refused",)),
-    ("trying", "lost"): ("terminated", ("tell lost",)),
-    ("proceeding", "timer E"): ("proceeding", ("resend", "next E at T2")),
-    ("proceeding", "timer F"): ("terminated", ("timeout",)),
-    ("proceeding", "1xx"): ("proceeding", ("tell",)),
-    ("proceeding", "2xx"): ("completed", ("stop E", "stop F", "start K", "tell", "slim")),
-    ("proceeding", "300-699"): ("completed", ("stop E", "stop F", "start K", "tell", "slim")),
-    ("proceeding", "refused"): ("terminated", ("tell lost",)),
-    ("proceeding", "lost"): ("terminated", ("tell lost",)),
+    ("trying", "timer E"): ("trying", ("retransmit", "restart E")),
+    ("trying", "timer F"): ("terminated", ("report timeout",)),
+    ("trying", "1xx"): ("proceeding", ("deliver",)),
+    ("trying", "2xx"): ("completed", ("stop E", "stop F", "start K", "deliver", "drop request")),
+    ("trying", "300-699"): ("completed", ("stop E", "stop F", "start K", "deliver", "drop request")),
+    ("trying", "refused"): ("terminated", ("report refused",)),
+    ("trying", "lost"): ("terminated", ("report lost",)),
+    ("proceeding", "timer E"): ("proceeding", ("retransmit", "restart E at T2")),
+    ("proceeding", "timer F"): ("terminated", ("report timeout",)),
+    ("proceeding", "1xx"): ("proceeding", ("deliver",)),
+    ("proceeding", "2xx"): ("completed", ("stop E", "stop F", "start K", "deliver", "drop request")),
+    ("proceeding", "300-699"): ("completed", ("stop E", "stop F", "start K", "deliver", "drop request")),
+    ("proceeding", "refused"): ("terminated", ("report lost",)),
+    ("proceeding", "lost"): ("terminated", ("report lost",)),
     ("completed", "timer K"): ("terminated", ()),
 }
-# 17.2.1, figure 7, with RFC 6026 section 8.7's "accepted": repeats are absorbed there, the 2xx is the user's to
-# repeat.
+# RFC 3261 section 17.2.1, figure 7, with the "accepted" state of RFC 6026 section 8.7: it absorbs retransmitted
+# INVITEs, and the user retransmits the 2xx.
 INVITE_SERVER = {
-    ("proceeding", "request"): ("proceeding", ("resend",)),
+    ("proceeding", "request"): ("proceeding", ("retransmit",)),
     ("proceeding", "1xx"): ("proceeding", ("send",)),
     ("proceeding", "2xx"): ("accepted", ("start L", "send")),
     ("proceeding", "300-699"): ("completed", ("start G", "start H", "send")),
-    ("proceeding", "lost"): ("terminated", ("tell lost",)),
+    ("proceeding", "lost"): ("terminated", ("report lost",)),
     ("accepted", "request"): ("accepted", ()),
     ("accepted", "2xx"): ("accepted", ("send",)),
     ("accepted", "timer L"): ("terminated", ()),
-    ("completed", "request"): ("completed", ("resend",)),
-    ("completed", "timer G"): ("completed", ("resend", "next G")),
-    ("completed", "timer H"): ("terminated", ("tell no ack",)),
+    ("completed", "request"): ("completed", ("retransmit",)),
+    ("completed", "timer G"): ("completed", ("retransmit", "restart G")),
+    ("completed", "timer H"): ("terminated", ("report no ack",)),
     ("completed", "ACK"): ("confirmed", ("stop G", "stop H", "start I")),
     ("completed", "lost"): ("terminated", ("stop G", "stop H")),
     ("confirmed", "timer I"): ("terminated", ()),
 }
-# 17.2.2, figure 8.
+# RFC 3261 section 17.2.2, figure 8.
 SERVER = {
     ("trying", "1xx"): ("proceeding", ("send",)),
-    ("trying", "2xx"): ("completed", ("start J", "send", "slim")),
-    ("trying", "300-699"): ("completed", ("start J", "send", "slim")),
-    ("trying", "lost"): ("terminated", ("tell lost",)),
-    ("proceeding", "request"): ("proceeding", ("resend",)),
+    ("trying", "2xx"): ("completed", ("start J", "send", "drop request")),
+    ("trying", "300-699"): ("completed", ("start J", "send", "drop request")),
+    ("trying", "lost"): ("terminated", ("report lost",)),
+    ("proceeding", "request"): ("proceeding", ("retransmit",)),
     ("proceeding", "1xx"): ("proceeding", ("send",)),
-    ("proceeding", "2xx"): ("completed", ("start J", "send", "slim")),
-    ("proceeding", "300-699"): ("completed", ("start J", "send", "slim")),
-    ("proceeding", "lost"): ("terminated", ("tell lost",)),
-    ("completed", "request"): ("completed", ("resend",)),
+    ("proceeding", "2xx"): ("completed", ("start J", "send", "drop request")),
+    ("proceeding", "300-699"): ("completed", ("start J", "send", "drop request")),
+    ("proceeding", "lost"): ("terminated", ("report lost",)),
+    ("completed", "request"): ("completed", ("retransmit",)),
     ("completed", "timer J"): ("terminated", ()),
 }
 
@@ -126,8 +126,8 @@
     return "1xx" if status < 200 else "2xx" if status < 300 else "300-699"
 
 
-class _Gone:
-    """The user of a transaction that is over, or whose end nobody waits for: nothing is told."""
+class _NullUser:
+    """Ignores all callbacks: the user of a terminated transaction, or of one whose outcome nobody needs."""
 
     __slots__ = ()
 
@@ -141,11 +141,11 @@
         pass
 
 
-GONE = _Gone()
+GONE = _NullUser()
 
 
 class Transaction:
-    """One transaction. `message` is its request, `wire` the bytes to repeat, `user` who is told."""
+    """One transaction. `message` is its request, `wire` the bytes to retransmit, `user` receives the callbacks."""
 
     __slots__ = (
         "layer",
@@ -157,24 +157,24 @@
         "user",
         "state",
         "timers",
-        "gap",
-        "last",
+        "retransmit_interval",
+        "ack_bytes",
         "method",
-        "merged",
+        "request_identity",
     )
 
     def __init__(self, layer, table, key, hop, message, user, state):
         self.layer, self.table, self.key, self.hop = layer, table, key, hop
         self.message, self.user, self.state, self.wire = message, user, state, b""
         self.method = message.method
-        self.timers, self.gap, self.last, self.merged = {}, 0, None, None
+        self.timers, self.retransmit_interval, self.ack_bytes, self.request_identity = {}, 0, None, None
 
     @property
     def reliable(self):
         return self.hop.transport == "tcp"
 
     @property
-    def over(self):
+    def is_terminated(self):
         return self.state == "terminated"
 
     def event(self, now, name, message=None):
@@ -191,27 +191,30 @@
         self.timers.pop(name, None)
         self.event(now, name)
 
-    def start(self, now, name, wait):
-        self.timers[name] = self.layer.timers.set(now + wait, self, name)
+    def start_timer(self, now, name, delay):
+        self.timers[name] = self.layer.timers.set(now + delay, self, name)
 
-    def stop(self, name):
+    def stop_timer(self, name):
         self.layer.timers.cancel(self.timers.pop(name, None))
 
     def respond(self, now, status, to_tag="", reason="", extra=(), body=b""):
-        """Sends a response through a server transaction; one that the state has no place for is not sent."""
+        """Sends a response through a server transaction; one that its state does not allow is dropped."""
         if self.message is None:
             return
-        self.answer(now, response_to(self.message, status, to_tag, reason, extra, body))
+        self.send_response(now, response_to(self.message, status, to_tag, reason, extra, body))
 
-    def answer(self, now, message):
+    def send_response(self, now, message):
         self.event(now, _class_of(message.status), message)
 
     def quiet(self, now):
-        self.event(now, "quiet")
+        self.event(now, "stop retransmission")
 
     def slim(self):
-        """Lets go of what no state from here on needs: the request, and whom to tell. Some thousand transactions a
-        second wait half a minute for repeats; they are most of the memory."""
+        """Releases the request and the user, which no later state needs.
+
+        At some thousand transactions per second, each waiting half a minute for retransmissions, these transactions
+        take most of the memory.
+        """
         self.message, self.user = None, GONE
 
 
@@ -220,74 +223,78 @@
     tx.layer.send(tx.hop, tx.wire)
 
 
-def _resend(tx, now, message):
+def _retransmit(tx, now, message):
     if tx.wire:
         tx.layer.send(tx.hop, tx.wire)
 
 
-def _next(name, to_t2, most):
-    def step(tx, now, message):
+def _restart(name, at_t2, capped_at_t2):
+    """Restarts a retransmission timer: at T2, or at twice the last interval."""
+
+    def restart(tx, now, message):
         times = tx.layer.times
-        tx.gap = times.t2 if to_t2 else min(tx.gap * 2, times.t2 if most else 1 << 60)
-        tx.start(now, name, tx.gap)
+        tx.retransmit_interval = (
+            times.t2 if at_t2 else min(tx.retransmit_interval * 2, times.t2 if capped_at_t2 else 1 << 60)
+        )
+        tx.start_timer(now, name, tx.retransmit_interval)
 
-    return step
+    return restart
 
 
-def _start(name, wait, when_reliable=True):
-    """Starts a timer; on a reliable transport, where `when_reliable` is false, it is 0 s and so falls due now."""
+def _start(name, duration, when_reliable=True):
+    """Starts a timer. With `when_reliable` false it is 0 s on a reliable transport: the transaction ends at once."""
 
     def start(tx, now, message):
         if not when_reliable and tx.reliable:
             tx.state = "terminated"
         else:
-            tx.start(now, name, wait(tx.layer.times))
+            tx.start_timer(now, name, duration(tx.layer.times))
 
     return start
 
 
-def _start_g(tx, now, message):
+def _start_timer_g(tx, now, message):
     if not tx.reliable:
-        tx.gap = tx.layer.times.t1
-        tx.start(now, "timer G", tx.gap)
+        tx.retransmit_interval = tx.layer.times.t1
+        tx.start_timer(now, "timer G", tx.retransmit_interval)
 
 
 def _stop(name):
-    return lambda tx, now, message: tx.stop(name)
+    return lambda tx, now, message: tx.stop_timer(name)
 
 
-def _tell_failed(kind):
+def _report_failure(kind):
     return lambda tx, now, message: tx.user.failed(now, tx, kind)
 
 
-def _ack(tx, now, message):
-    """The ACK of a refusal (RFC 3261 section 17.1.1.3): the INVITE's Via, Call-ID, From and Route, the To of the
-    response."""
-    if tx.last is None:
+def _send_ack(tx, now, message):
+    """Sends the ACK of a non-2xx final response (RFC 3261 section 17.1.1.3): Via, Call-ID, From and Route of the
+    INVITE, To of the response."""
+    if tx.ack_bytes is None:
         invite = tx.message
         fields = [f for f in invite.fields if f[0] in ("via", "from", "call-id", "route", "max-forwards")]
         ack = Message("ACK", invite.uri, fields=fields)
         ack.add("To", message.get("to")).add("CSeq", f"{invite.cseq[0]} ACK")
-        tx.last = ack.encode()
-    tx.layer.send(tx.hop, tx.last)
+        tx.ack_bytes = ack.encode()
+    tx.layer.send(tx.hop, tx.ack_bytes)
 
 
 ACTIONS = {
     "send": _send,
-    "resend": _resend,
-    "ack": _ack,
-    "slim": lambda tx, now, message: tx.slim(),
-    "tell": lambda tx, now, message: tx.user.response(now, tx, message),
-    "timeout": _tell_failed("timeout"),
-    "tell refused": _tell_failed("refused"),
-    "tell lost": _tell_failed("lost"),
-    "tell no ack": _tell_failed("no ack"),
-    "next A": _next("timer A", False, False),
-    "next E": _next("timer E", False, True),
-    "next E at T2": _next("timer E", True, True),
-    "next G": _next("timer G", False, True),
-    "start D": _start("timer D", lambda t: t.d, False),
-    "start G": _start_g,
+    "retransmit": _retransmit,
+    "ack": _send_ack,
+    "drop request": lambda tx, now, message: tx.slim(),
+    "deliver": lambda tx, now, message: tx.user.response(now, tx, message),
+    "report timeout": _report_failure("timeout"),
+    "report refused": _report_failure("refused"),
+    "report lost": _report_failure("lost"),
+    "report no ack": _report_failure("no ack"),
+    "restart A": _restart("timer A", False, False),
+    "restart E": _restart("timer E", False, True),
+    "restart E at T2": _restart("timer E", True, True),
+    "restart G": _restart("timer G", False, True),
+    "start D": _start("timer D", lambda t: t.timer_d, False),
+    "start G": _start_timer_g,
     "start H": _start("timer H", lambda t: t.most),
     "start I": _start("timer I", lambda t: t.t4, False),
     "start J": _start("timer J", lambda t: t.most, False),
@@ -299,23 +306,23 @@
 
 
 class Layer:
-    """All transactions of one element.
+    """All transactions of one SIP element.
 
-    `most` bounds them: at the bound a new request is handed to `user.full` and makes none, and `request` gives
-    None. `send(hop, bytes)` carries out.
+    `limit` bounds their number: at the limit a received request is passed to `user.full` without a transaction, and
+    `request` returns None. `send(hop, bytes)` transmits.
     """
 
-    def __init__(self, timers, times, most, user, send):
-        self.timers, self.times, self.most, self.user, self.send = timers, times, most, user, send
+    def __init__(self, timers, times, limit, user, send):
+        self.timers, self.times, self.limit, self.user, self.send = timers, times, limit, user, send
         self.servers, self.clients = {}, {}
-        self.invites = {}  # (Call-ID, From tag, CSeq): server transaction, against merged requests
-        self.by_hop = {}  # hop: its transactions that a lost connection or an unreachable port ends
+        self.invites_by_identity = {}  # (Call-ID, From tag, CSeq) to server transaction, to detect merged requests
+        self.by_hop = {}  # hop to the transactions that a lost connection or an unreachable port terminates
 
     def __len__(self):
         return len(self.servers) + len(self.clients)
 
     def receive(self, now, message, hop):
-        """One checked message. Raises SipError only for what `check` has not seen."""
+        """Handles one message that has passed `check`. Raises SipError only for errors that `check` does not detect."""
         via = message.via
         if message.status:
             tx = self.clients.get((via.params.get("branch", ""), message.cseq[1]))
@@ -335,7 +342,7 @@
         if tx is not None:
             tx.event(now, "request", message)
             return
-        if len(self) >= self.most:
+        if len(self) >= self.limit:
             self.user.full(now, message, hop)
             return
         invite = message.method == "INVITE"
@@ -349,39 +356,42 @@
             "proceeding" if invite else "trying",
         )
         if invite and not message.to_tag:
-            # RFC 3261 section 8.2.2.2: the same request by another way.
-            merged = (message.call_id, message.from_tag, message.cseq[0])
-            if merged in self.invites:
-                self._keep(self.servers, tx)
+            # RFC 3261 section 8.2.2.2: the same request received over another path.
+            identity = (message.call_id, message.from_tag, message.cseq[0])
+            if identity in self.invites_by_identity:
+                self._register(self.servers, tx)
                 tx.respond(now, 482, "merged")
                 return
-            self.invites[merged], tx.merged = tx, merged
-        self._keep(self.servers, tx)
+            self.invites_by_identity[identity], tx.request_identity = tx, identity
+        self._register(self.servers, tx)
         self.user.request(now, tx, message)
 
     @staticmethod
     def key(message, via, method=""):
-        """What a request's server transaction is known by (RFC 3261 section 17.2.3). Call-ID and From tag are
-        part of it, so that another call's branch, guessed or repeated, never lands in this one's."""
+        """The key of a request's server transaction (RFC 3261 section 17.2.3).
+
+        It includes Call-ID and From tag, so that a request of another call with a guessed or repeated branch never
+        matches this transaction.
+        """
         method = method or message.method
         method = "INVITE" if method == "ACK" else method
         branch = via.params.get("branch", "")
-        if branch.startswith(COOKIE):
+        if branch.startswith(BRANCH_COOKIE):
             return (branch, via.host.lower(), via.port, method, message.call_id, message.from_tag)
         return ("2543", message.cseq[0], message.get("via"), method, message.call_id, message.from_tag)
 
     def cancelled(self, message):
-        """The INVITE's server transaction that this CANCEL is for, or None (RFC 3261 section 9.2)."""
+        """The server transaction of the INVITE that this CANCEL cancels, or None (RFC 3261 section 9.2)."""
         return self.servers.get(self.key(message, message.via, "INVITE"))
 
     def request(self, now, message, hop, user):
-        """Sends a request that is no ACK through a new client transaction; None at the bound."""
-        if len(self) >= self.most:
+        """Sends a request other than ACK through a new client transaction; returns None at the limit."""
+        if len(self) >= self.limit:
             return None
         invite = message.method == "INVITE"
         branch = message.via.params.get("branch", "")
-        if not branch.startswith(COOKIE) or (branch, message.method) in self.clients:
-            raise SipError("the branch is not new", "Via")
+        if not branch.startswith(BRANCH_COOKIE) or (branch, message.method) in self.clients:
+            raise SipError("the branch is already in use or lacks the cookie", "Via")
         tx = Transaction(
             self,
             INVITE_CLIENT if invite else CLIENT,
@@ -392,35 +402,36 @@
             "calling" if invite else "trying",
         )
         tx.wire = message.encode()
-        self._keep(self.clients, tx)
-        tx.start(now, "timer B" if invite else "timer F", self.times.most)
+        self._register(self.clients, tx)
+        tx.start_timer(now, "timer B" if invite else "timer F", self.times.most)
         if not tx.reliable:
-            tx.gap = self.times.t1
-            tx.start(now, "timer A" if invite else "timer E", tx.gap)
+            tx.retransmit_interval = self.times.t1
+            tx.start_timer(now, "timer A" if invite else "timer E", tx.retransmit_interval)
         self.send(hop, tx.wire)
         return tx
 
     def lost(self, now, hop, kind):
-        """A connection is gone ('lost') or never was, or an address is unreachable ('refused')."""
+        """Reports to the transactions of a hop that its connection was lost ('lost'), or that it could not be connected
+        or reached ('refused')."""
         for tx in sorted(self.by_hop.get(hop, ()), key=lambda t: t.key):
             tx.event(now, kind)
 
-    def _keep(self, where, tx):
-        where[tx.key] = tx
-        if where is self.clients or tx.hop.transport == "tcp":
+    def _register(self, transactions, tx):
+        transactions[tx.key] = tx
+        if transactions is self.clients or tx.hop.transport == "tcp":
             self.by_hop.setdefault(tx.hop, set()).add(tx)
 
     def forget(self, tx):
         for name in list(tx.timers):
-            tx.stop(name)
-        tx.user = GONE  # or transaction and call would hold each other until a collection of cycles
-        where = self.clients if tx.table is INVITE_CLIENT or tx.table is CLIENT else self.servers
-        if where.get(tx.key) is tx:
-            del where[tx.key]
-        if tx.merged is not None and self.invites.get(tx.merged) is tx:
-            del self.invites[tx.merged]
-        found = self.by_hop.get(tx.hop)
-        if found is not None:
-            found.discard(tx)
-            if not found:
+            tx.stop_timer(name)
+        tx.user = GONE  # breaks the reference cycle with the call, which would stay until a garbage collection
+        transactions = self.clients if tx.table is INVITE_CLIENT or tx.table is CLIENT else self.servers
+        if transactions.get(tx.key) is tx:
+            del transactions[tx.key]
+        if tx.request_identity is not None and self.invites_by_identity.get(tx.request_identity) is tx:
+            del self.invites_by_identity[tx.request_identity]
+        hop_transactions = self.by_hop.get(tx.hop)
+        if hop_transactions is not None:
+            hop_transactions.discard(tx)
+            if not hop_transactions:
                 del self.by_hop[tx.hop]
