--- a/bench/soak/servers.py
+++ b/bench/soak/servers.py
@@ -328,7 +328,7 @@
 
 def reply(m, status, body=b"", extra=""):
     return (
-        f"SIP/2.0 {status} {message.REASONS.get(status, 'X')}\r\nCall-ID: {m.call_id}\r\nCSeq: {m.get('cseq')}\r\n"
+        f"SIP/2.0 {status} {message.REASON_TEXT.get(status, 'X')}\r\nCall-ID: {m.call_id}\r\nCSeq: {m.get('cseq')}\r\n"
         f"{extra}Content-Length: {len(body)}\r\n\r\n"
     ).encode() + body
 
--- a/tests/call/test_calls.py
+++ b/tests/call/test_calls.py
@@ -412,7 +412,7 @@
     assert rig.take_sent(CALLER)[0].encode() == first.encode()  # a late retransmission
     rig.deliver(rig.invite(branch="z9hG4bKnew", call="new", tag="n"))
     assert statuses(rig.take_sent(CALLER)) == [100]
-    assert len(rig.border.layer.servers) == 1
+    assert len(rig.border.layer.server_transactions) == 1
 
 
 def test_stopping_takes_no_calls_and_releases_the_rest():
--- a/tests/sip/test_fuzz.py
+++ b/tests/sip/test_fuzz.py
@@ -128,7 +128,7 @@
         lambda: message.contact,
         lambda: parse_uri(message.uri),
         lambda: message.all("route"),
-        lambda: m.received_from(message, "127.0.0.1", 1),
+        lambda: m.add_received_params(message, "127.0.0.1", 1),
         lambda: m.reply_address(message),
         lambda: m.response_to(message, 200, "t").encode(),
     ):
--- a/tests/sip/test_message.py
+++ b/tests/sip/test_message.py
@@ -4,11 +4,11 @@
 
 from thorndale.sip import headers as h
 from thorndale.sip import message as m
-from thorndale.sip.dialog import Dialog, hop_of
+from thorndale.sip.dialog import Dialog, hop_for_uri
 from thorndale.sip.errors import SipError
 from thorndale.sip.framing import KEEPALIVE, Framer
 from thorndale.sip.transaction import Hop
-from thorndale.sip.uri import digits, escape_user, parse_uri, unescape
+from thorndale.sip.uri import dialled_number, escape_user, parse_uri, unescape
 
 BASE = [
     "INVITE sip:vivekg@chair-dnrc.example.com;unknownparam SIP/2.0",
@@ -171,15 +171,15 @@
         5070,
         {"transport": "tcp"},
     )
-    assert digits(parse_uri("tel:+221-33.(12) 3".replace(" ", ""))) == "+22133123"
+    assert dialled_number(parse_uri("tel:+221-33.(12) 3".replace(" ", ""))) == "+22133123"
     assert unescape(escape_user("a;b@c d")) == "a;b@c d" and "@" not in escape_user("a@b")
-    assert hop_of("sip:[::1];transport=tcp") == Hop("tcp", "::1", 5060, 0)
+    assert hop_for_uri("sip:[::1];transport=tcp") == Hop("tcp", "::1", 5060, 0)
     for bad in ("sip:", "sip:@x", "sip:a@b@c", "sip:a@h:0", "sip:a@h:70000", "sip:%4@h", "sip:a b@h", "sip:[::1", "x"):
         with pytest.raises(SipError):
             parse_uri(bad)
     for bad in ("http:x", "sips:a@1.2.3.4", "sip:a@example.com", "sip:1.2.3.4;transport=ws"):
         with pytest.raises(SipError):
-            hop_of(bad)
+            hop_for_uri(bad)
 
 
 def test_framing():
@@ -206,11 +206,11 @@
 
 def test_received_and_rport_set_the_response_address():
     message = m.parse(build_message("Via: SIP/2.0/UDP 10.1.1.1:4540;rport;branch=z9hG4bKkjshdyff"))
-    m.received_from(message, "192.0.2.1", 9988)
+    m.add_received_params(message, "192.0.2.1", 9988)
     assert message.via.params["received"] == "192.0.2.1" and message.via.params["rport"] == "9988"
     assert m.reply_address(message) == ("192.0.2.1", 9988)
     message = m.parse(build_message())
-    m.received_from(message, "192.0.2.9", 9988)
+    m.add_received_params(message, "192.0.2.9", 9988)
     assert m.reply_address(message) == ("192.0.2.9", 5060)
 
 
@@ -221,19 +221,19 @@
         "t1",
         extra=[("Record-Route", "<sip:10.0.0.1;lr>, <sip:10.0.0.2;lr>"), ("Contact", "<sip:b@10.0.0.9:5070>")],
     )
-    dialog = Dialog.of_response(m.parse(build_message()), ok, Hop("udp", "10.0.0.2", 5060))
+    dialog = Dialog.from_response(m.parse(build_message()), ok, Hop("udp", "10.0.0.2", 5060))
     bye = dialog.request("BYE", "SIP/2.0/UDP x;branch=z9hG4bK1")
     assert bye.uri == "sip:b@10.0.0.9:5070" and bye.all("route") == ["<sip:10.0.0.2;lr>", "<sip:10.0.0.1;lr>"]
     assert bye.cseq == (6, "BYE") and bye.to_tag == "t1" and dialog.hop == Hop("udp", "10.0.0.2", 5060, 0)
     strict = m.parse(build_message(add=["Record-Route: <sip:10.0.0.1>, <sip:10.0.0.2;lr>"]))
-    called = Dialog.of_request(strict, "t2", Hop("udp", "10.0.0.1", 5060))
+    called = Dialog.from_invite(strict, "t2", Hop("udp", "10.0.0.1", 5060))
     bye = called.request("BYE", "SIP/2.0/UDP x;branch=z9hG4bK2")
     assert bye.uri == "sip:10.0.0.1" and bye.all("route")[-1] == "<sip:a@192.0.2.2>"
     later = m.parse(build_message("BYE sip:x SIP/2.0", "CSeq: 9 BYE", "To: <sip:b@example.com>;tag=t2"))
-    assert called.is_of(later) and called.in_order(later) and not called.in_order(later)
-    called.refresh(m.parse(build_message("Contact: <sip:new@192.0.2.7:5090>")))
+    assert called.matches_request(later) and called.accept_cseq(later) and not called.accept_cseq(later)
+    called.refresh_target(m.parse(build_message("Contact: <sip:new@192.0.2.7:5090>")))
     assert called.target == "sip:new@192.0.2.7:5090"
-    called.refresh(m.parse(build_message("Contact: <sip:new@nowhere.example>")))
+    called.refresh_target(m.parse(build_message("Contact: <sip:new@nowhere.example>")))
     assert called.target == "sip:new@192.0.2.7:5090"
 
 
--- a/tests/sip/test_transaction.py
+++ b/tests/sip/test_transaction.py
@@ -1,7 +1,15 @@
 """The four transaction state machines in virtual time, on datagrams and on streams."""
 
 from thorndale.sip import message as m
-from thorndale.sip.transaction import CLIENT, INVITE_CLIENT, INVITE_SERVER, SERVER, Hop, Layer, Times
+from thorndale.sip.transaction import (
+    CLIENT,
+    INVITE_CLIENT,
+    INVITE_SERVER,
+    SERVER,
+    Hop,
+    TimerDurations,
+    TransactionLayer,
+)
 from thorndale.timers import Timers
 
 UDP, TCP = Hop("udp", "127.0.0.1", 9), Hop("tcp", "127.0.0.1", 9, 3)
@@ -18,8 +26,8 @@
     def __init__(self):
         self.now, self.sent, self.callbacks = 0, [], []
         self.timers = Timers()
-        self.layer = Layer(
-            self.timers, Times(), 100, self, lambda hop, data: self.sent.append((self.now, m.parse(data)))
+        self.layer = TransactionLayer(
+            self.timers, TimerDurations(), 100, self, lambda hop, data: self.sent.append((self.now, m.parse(data)))
         )
 
     def receive(self, data, hop=UDP):
@@ -117,7 +125,7 @@
 def test_an_abandoned_invite_is_not_retransmitted_but_its_response_is_delivered():
     user = User()
     tx = user.layer.request(0, m.parse(request_bytes()), UDP, user)
-    tx.quiet(0)
+    tx.stop_retransmitting(0)
     user.run(10_000_000)
     assert len(user.times()) == 1
     user.answer(tx, 180)
@@ -197,8 +205,8 @@
     user.receive(request_bytes())
     user.receive(request_bytes(branch="z9hG4bKz", call="d"))
     first = user.callbacks[0][1]
-    assert user.layer.cancelled(m.parse(request_bytes("CANCEL"))) is first
-    assert user.layer.cancelled(m.parse(request_bytes("CANCEL", call="e"))) is None
+    assert user.layer.cancelled_invite(m.parse(request_bytes("CANCEL"))) is first
+    assert user.layer.cancelled_invite(m.parse(request_bytes("CANCEL", call="e"))) is None
 
 
 def test_branches_of_before_rfc_3261():
@@ -216,9 +224,9 @@
     user.receive(request_bytes(call="z"), TCP)
     user.layer.request(0, m.parse(request_bytes("BYE", "z9hG4bKd")), UDP, user)
     user.kinds()
-    user.layer.lost(0, TCP, "lost")
+    user.layer.fail_hop(0, TCP, "lost")
     assert sorted(user.kinds()) == ["lost", "lost"]
-    user.layer.lost(0, UDP, "refused")
+    user.layer.fail_hop(0, UDP, "refused")
     assert user.kinds() == ["refused"] and len(user.layer) == 0 and not user.layer.by_hop and not user.timers
 
 
--- a/thorndale/call/book.py
+++ b/thorndale/call/book.py
@@ -16,11 +16,11 @@
 from xxhash import xxh64_hexdigest
 
 from thorndale import interface as io
-from thorndale.sip.dialog import Dialog, hop_of, via_text
+from thorndale.sip.dialog import Dialog, hop_for_uri, via_text
 from thorndale.sip.errors import SipError
 from thorndale.sip.headers import parse_params, parse_retry_after
 from thorndale.sip.message import Message
-from thorndale.sip.transaction import GONE
+from thorndale.sip.transaction import NULL_USER
 
 STATES = {"serving": io.SERVING, "draining": io.DRAINING, "gone": io.GONE}
 MAX_SERVERS = 10_000  # entries of one notification
@@ -147,7 +147,7 @@
     def _subscribe(self, now):
         border = self.border
         try:
-            hop = self.dialog.hop if self.dialog else hop_of(self.uri)
+            hop = self.dialog.hop if self.dialog else hop_for_uri(self.uri)
         except SipError:
             return
         transport, host, port = border.local(hop)
@@ -187,9 +187,9 @@
             return
         try:
             if self.dialog is None:
-                self.dialog = Dialog.of_response(tx.message, message, tx.hop)
+                self.dialog = Dialog.from_response(tx.message, message, tx.hop)
             else:
-                self.dialog.refresh(message)
+                self.dialog.refresh_target(message)
         except SipError:
             self._subscription_lost(now)
             return
@@ -241,7 +241,7 @@
         if message.get("event").partition(";")[0].strip() != "pool-book":
             tx.respond(now, 489)
             return
-        if self.dialog is not None and not self.dialog.in_order(message):
+        if self.dialog is not None and not self.dialog.accept_cseq(message):
             tx.respond(now, 500, extra=[("Retry-After", "1")])
             return
         state, _, rest = message.get("subscription-state").partition(";")
@@ -276,6 +276,6 @@
                 via,
                 [("Event", "pool-book"), ("Expires", "0"), ("Contact", self.border.contact(self.dialog.hop))],
             )
-            self.border.layer.request(now, message, self.dialog.hop, GONE)
+            self.border.layer.request(now, message, self.dialog.hop, NULL_USER)
         self.state, self.dialog = "stopped", None
         self.border.owners.pop(self.token, None)
--- a/thorndale/call/border.py
+++ b/thorndale/call/border.py
@@ -23,10 +23,10 @@
 from thorndale.module_host import ModuleHost
 from thorndale.records.ledger import NullLedger
 from thorndale.sip import message as m
-from thorndale.sip.dialog import hop_of, via_text
+from thorndale.sip.dialog import hop_for_uri, via_text
 from thorndale.sip.errors import SipError
 from thorndale.sip.message import Message
-from thorndale.sip.transaction import GONE, Hop, Layer, Times
+from thorndale.sip.transaction import NULL_USER, Hop, TimerDurations, TransactionLayer
 from thorndale.sip.uri import host_port
 from thorndale.timers import Timers
 
@@ -77,13 +77,15 @@
         self._send, self._log = send, log
         self.now, self.token_state = 0, seed & MASK_64
         self.timers = Timers()
-        times = Times(sip.t1_ms * 1000, sip.t2_ms * 1000, sip.t4_ms * 1000, max(sip.t1_ms * 64, 1) * 1000)
+        times = TimerDurations(sip.t1_ms * 1000, sip.t2_ms * 1000, sip.t4_ms * 1000, max(sip.t1_ms * 64, 1) * 1000)
         self.ledger, self.mask_caller, self.record_timer = ledger or NullLedger(), mask_caller, None
-        self.layer = Layer(self.timers, times, settings.limits.transactions, self, self._transmit)
+        self.layer = TransactionLayer(self.timers, times, settings.limits.transactions, self, self._transmit)
         self.module_host = ModuleHost(build_module(seed, settings))
         self.classifier, self.wall_offset_us = CallClassifier(settings, rules), wall_offset_us
-        self.overload_control = OverloadControl(settings.limits.lag_ms * 1000, settings.limits.open_calls, times.most)
-        self.server_hops = [hop_of(s.uri) for s in settings.servers]
+        self.overload_control = OverloadControl(
+            settings.limits.lag_ms * 1000, settings.limits.open_calls, times.transaction_timeout
+        )
+        self.server_hops = [hop_for_uri(s.uri) for s in settings.servers]
         self.server_names = [s.name for s in settings.servers]
         self.server_groups = [s.trunk_group for s in settings.servers]
         self.tally = Tally(self.server_names, self.server_groups)
@@ -96,7 +98,7 @@
         self.established = deque()  # (when answered, call), oldest first; calls that are over are removed later
         self.freed_indices = []  # call indices to release once the module has handled the events about them
         self.count = Counter()
-        self.discard = GONE  # the user of transactions whose result is ignored
+        self.discard = NULL_USER  # the user of transactions whose result is ignored
         self.stopping = False
         self.module_timer, self.sweep_timer = None, None
         self._last_warnings = {}  # event: (when last logged, lines suppressed since)
@@ -212,7 +214,7 @@
         try:
             if message.method:
                 if not stream:
-                    m.received_from(message, hop.host, hop.port)
+                    m.add_received_params(message, hop.host, hop.port)
                     hop = Hop("udp", *m.reply_address(message))
                 if message.method == "INVITE" and self._refuse_early(now, message, hop):
                     return
@@ -231,12 +233,12 @@
         try:
             via = message.via
             if message.status:
-                tx = self.layer.clients.get((via.params.get("branch", ""), "INVITE"))
+                tx = self.layer.client_transactions.get((via.params.get("branch", ""), "INVITE"))
                 if tx is not None and message.status >= 200 and hasattr(tx.user, "unreadable"):
                     tx.user.unreadable(now)
             elif message.method != "ACK":
                 if hop.transport == "udp":
-                    m.received_from(message, hop.host, hop.port)
+                    m.add_received_params(message, hop.host, hop.port)
                     hop = Hop("udp", *m.reply_address(message))
                 extra = [("Warning", f"399 thorndale {_warning_text(error)}")]
                 self._transmit(hop, m.response_to(message, error.status, self.token(), extra=extra).encode())
@@ -248,14 +250,14 @@
         Returns whether it did. The ACK of such a refusal matches no transaction and is ignored."""
         overload = self.overload_control
         if overload.recent_keys or overload.previous_keys:
-            key = self.layer.key(message, message.via)
+            key = self.layer.server_key(message, message.via)
             if overload.was_refused(_request_hash(key)):
                 self._refuse_stateless(now, message, hop, "refused again")
                 return True
         records_unavailable = self.ledger.refusing(now)
         if not self.stopping and not records_unavailable and not overload.should_refuse(now, len(self.module_host)):
             return False
-        if message.to_tag or self.layer.key(message, message.via) in self.layer.servers:
+        if message.to_tag or self.layer.server_key(message, message.via) in self.layer.server_transactions:
             return False  # belongs to an accepted call, which handles it
         self._refuse_stateless(
             now, message, hop, "refused for want of records" if records_unavailable else "refused early"
@@ -266,7 +268,7 @@
         """Sends a 503 without a transaction. Its tag and Retry-After are derived from a hash of the request, so that
         each retransmission gets the same response."""
         self.count[why] += 1
-        request_hash = _request_hash(self.layer.key(message, message.via))
+        request_hash = _request_hash(self.layer.server_key(message, message.via))
         self.overload_control.remember_refusal(now, request_hash)
         wait = int(self.settings.comeback.most_ms * 1000 * (1 + (request_hash >> 32) / (1 << 32)) / 2)
         extra = retry_after_fields(wait) if self.settings.comeback.told else []
@@ -284,7 +286,7 @@
     def lost(self, now, hop, kind):
         """Handles the end of a connection ('lost') or an unreachable address ('refused')."""
         self.now = now
-        self.layer.lost(now, hop, kind)
+        self.layer.fail_hop(now, hop, kind)
         if kind == "lost" and hop.transport == "tcp":
             for owner in list(self.owners.values()):
                 if isinstance(owner, Call):
@@ -390,7 +392,7 @@
     def request(self, now, tx, message):
         method = message.method
         if method == "CANCEL":
-            invite = self.layer.cancelled(message)
+            invite = self.layer.cancelled_invite(message)
             if invite is None:
                 self.ledger.cancelled(
                     now, message.call_id, message.from_tag, message.cseq[0], now + self.wall_offset_us
--- a/thorndale/call/call.py
+++ b/thorndale/call/call.py
@@ -82,7 +82,7 @@
         self.caller_seq = invite.cseq[0]
         self.answer_pending = False  # the 200 to the caller waits until its record is written
         self.state, self.seizure, self.seizure_count, self.server = "setting up", None, 0, -1
-        self.legs = [Dialog.of_request(invite, f"{token}a", tx.hop), None]
+        self.legs = [Dialog.from_invite(invite, f"{token}a", tx.hop), None]
         # (leg, CSeq): the 2xx that waits for its ACK; leg: the Relay of its open re-INVITE
         self.unacked_answers, self.open_reinvites = {}, {}
         self.index = border.module_host.assign_index(self)
@@ -263,7 +263,7 @@
 
     def ack(self, now, side, message):
         dialog = self.legs[side]
-        if dialog is None or not dialog.is_of(message):
+        if dialog is None or not dialog.matches_request(message):
             return
         answer = self.unacked_answers.pop((side, message.cseq[0]), None)
         if answer is not None:
@@ -273,10 +273,10 @@
         """Handles a request inside one of the call's dialogs."""
         side = CALLER if tag[16:17] == "a" else SERVER
         dialog = self.legs[side]
-        if dialog is None or not dialog.is_of(message):
+        if dialog is None or not dialog.matches_request(message):
             tx.respond(now, 481)
             return
-        if not dialog.in_order(message):
+        if not dialog.accept_cseq(message):
             tx.respond(now, 500, extra=[("Retry-After", "1")])
             return
         if message.method == "BYE":
--- a/thorndale/call/relay.py
+++ b/thorndale/call/relay.py
@@ -14,7 +14,7 @@
 
     def __init__(self, border, now, tx, on_ack, on_timeout):
         times = border.layer.times
-        self.border, self.tx, self.interval, self.deadline = border, tx, times.t1, now + times.most
+        self.border, self.tx, self.interval, self.deadline = border, tx, times.t1, now + times.transaction_timeout
         self.on_ack, self.on_timeout = on_ack, on_timeout
         self.timer = border.timers.set(now + self.interval, self, "repeat")
 
@@ -29,7 +29,7 @@
 
     def acked(self, now, ack):
         self.stop()
-        self.tx.slim()
+        self.tx.drop_request()
         self.on_ack(now, ack)
 
     def stop(self):
@@ -108,8 +108,8 @@
         dialogs = call.legs
         extra = forwarded_fields(message, border.load_header)
         if status < 300 and tx.method in ("INVITE", "UPDATE"):
-            dialogs[1 - self.side].refresh(message)
-            dialogs[self.side].refresh(self.tx.message)
+            dialogs[1 - self.side].refresh_target(message)
+            dialogs[self.side].refresh_target(self.tx.message)
             extra.append(("Contact", border.contact(dialogs[self.side].hop)))
         self._finish()
         if status in (408, 481) and call.state == "established":
--- a/thorndale/call/seizure.py
+++ b/thorndale/call/seizure.py
@@ -64,7 +64,7 @@
             self.call.seizure_timed_out(now, self)
         elif name == "abandon" and self.tx is not None:
             # The server has not answered the CANCEL either: the transaction counts as cancelled (RFC 3261 section 9.1).
-            self.tx.event(now, "lost")
+            self.tx.handle_event(now, "lost")
 
     def _stop(self):
         self.border.timers.cancel(self.timer)
@@ -80,14 +80,14 @@
             self._cancel(now)
         else:
             # No CANCEL may be sent before a provisional response (9.1); retransmissions of the INVITE stop.
-            self.tx.quiet(now)
+            self.tx.stop_retransmitting(now)
 
     def _cancel(self, now):
         if self.cancelled:
             return
         self.cancelled = True
         self.border.cancel(now, self.tx)
-        self.timer = self.border.timers.set(now + self.border.layer.times.most, self, "abandon")
+        self.timer = self.border.timers.set(now + self.border.layer.times.transaction_timeout, self, "abandon")
 
     # ---- the transaction's user ----
 
@@ -125,7 +125,7 @@
                 if self.acks[tag]:
                     self.border.layer.send(*self.acks[tag])
                 return
-            dialog = Dialog.of_response(self.tx.message, message, self.tx.hop)
+            dialog = Dialog.from_response(self.tx.message, message, self.tx.hop)
         except SipError as error:
             self.border.log("warning", "200 that cannot be used", call=self.call.id, reason=mask_numbers(str(error)))
             self.unreadable(now)
--- a/thorndale/config/load.py
+++ b/thorndale/config/load.py
@@ -13,7 +13,7 @@
 from thorndale.match.errors import MatchError
 from thorndale.match.rules import AllowedNames
 from thorndale.match.rules import load as load_rules
-from thorndale.sip.dialog import hop_of
+from thorndale.sip.dialog import hop_for_uri
 from thorndale.sip.errors import SipError
 from thorndale.sip.headers import is_token, parse_host_port
 from thorndale.spelling import nearest
@@ -199,7 +199,7 @@
 
     def uri(path, text):
         try:
-            hop = hop_of(text)
+            hop = hop_for_uri(text)
         except SipError as fault:
             faults.append(f"{path}: {fault.what}; write sip:ADDRESS:PORT or sip:ADDRESS:PORT;transport=tcp")
             return
--- a/thorndale/match/facts.py
+++ b/thorndale/match/facts.py
@@ -6,10 +6,10 @@
 from datetime import UTC, datetime
 
 from thorndale.sip.errors import SipError
-from thorndale.sip.message import MAX_FIELDS, MAX_HEAD, key_of
-from thorndale.sip.uri import digits, parse_uri
+from thorndale.sip.message import MAX_FIELDS, MAX_HEAD_BYTES, header_key
+from thorndale.sip.uri import dialled_number, parse_uri
 
-MAX_TEXT_CHARS = MAX_HEAD  # bytes of a message head bound every text in it
+MAX_TEXT_CHARS = MAX_HEAD_BYTES  # bytes of a message head bound every text in it
 MAX_HEADER_VALUES = MAX_FIELDS  # per header name
 
 
@@ -42,22 +42,22 @@
 
     @property
     def number(self):
-        return digits(self.uri)
+        return dialled_number(self.uri)
 
     @property
     def caller(self):
         """The caller's number, or the raw text of a From whose URI cannot be parsed."""
         uri = self.caller_uri
-        return digits(uri) if uri is not None else self.invite.from_.uri
+        return dialled_number(uri) if uri is not None else self.invite.from_.uri
 
     def headers(self, name):
         """All values of a header, in order; a compact form counts as the full name."""
         result = self._headers.get(name)
         if result is None:
             try:
-                result = self.invite.all(key_of(name))[:MAX_HEADER_VALUES]
+                result = self.invite.all(header_key(name))[:MAX_HEADER_VALUES]
             except SipError:  # unterminated quoted string: each field is one raw value
-                result = [field[2] for field in self.invite.fields if field[0] == key_of(name)]
+                result = [field[2] for field in self.invite.fields if field[0] == header_key(name)]
             self._headers[name] = result
         return result
 
--- a/thorndale/match/functions.py
+++ b/thorndale/match/functions.py
@@ -16,7 +16,7 @@
 from thorndale.match.tree import LIST, NUMBER, SPAN, TEXT, URI, YESNO, Type
 from thorndale.sip.errors import SipError
 from thorndale.sip.headers import is_token
-from thorndale.sip.message import key_of
+from thorndale.sip.message import header_key
 from thorndale.sip.uri import parse_uri
 
 CHARS_PER_STEP = 16
@@ -332,5 +332,5 @@
     if function.literal_kind == "zone":
         return [zoneinfo.ZoneInfo(values[0])]
     if function.literal_kind == "header":
-        return [key_of(values[0])]
+        return [header_key(values[0])]
     return values
--- a/thorndale/platform/central.py
+++ b/thorndale/platform/central.py
@@ -35,7 +35,7 @@
         for part in self._framer.feed(data):
             if part is not framing.KEEPALIVE:
                 yield read(part)
-        if _START.search(self._framer.held, 1):
+        if _START.search(self._framer.buffered, 1):
             raise PlatformError("another message begins inside it", "message")
 
 
--- a/thorndale/sip/dialog.py
+++ b/thorndale/sip/dialog.py
@@ -12,7 +12,7 @@
 DEFAULT_PORTS = {"udp": 5060, "tcp": 5060}
 
 
-def hop_of(uri_text):
+def hop_for_uri(uri_text):
     """The hop for a request to this URI: its transport, address and port, by default UDP and 5060.
 
     Host names are not resolved, only IP addresses are accepted. Raises SipError.
@@ -56,7 +56,7 @@
         self.local_seq, self.remote_seq, self.hop, self.sent_invite = local_seq, remote_seq, hop, sent_invite
 
     @classmethod
-    def of_request(cls, invite, local_tag, hop):
+    def from_invite(cls, invite, local_tag, hop):
         """The called side's view, from the INVITE (12.1.1). Raises SipError.
 
         `hop` is the source of the INVITE. It is kept for a stream, since the connection carries requests in both
@@ -85,7 +85,7 @@
         return dialog
 
     @classmethod
-    def of_response(cls, invite, response, hop):
+    def from_response(cls, invite, response, hop):
         """The calling side's view, from its INVITE and a response with a To tag (12.1.2). Raises SipError."""
         contact = response.contact
         target = contact.uri if contact is not None else invite.uri
@@ -110,15 +110,15 @@
 
     def next_hop(self):
         """The hop of the first route or, without routes, of the target. Raises SipError."""
-        return hop_of(h.parse_address(self.routes[0]).uri if self.routes else self.target)
+        return hop_for_uri(h.parse_address(self.routes[0]).uri if self.routes else self.target)
 
-    def is_of(self, request):
+    def matches_request(self, request):
         """Whether this request from the other side belongs to this dialog (12.2.2)."""
         return (
             request.call_id == self.call_id and request.to_tag == self.local_tag and request.from_tag == self.remote_tag
         )
 
-    def in_order(self, request):
+    def accept_cseq(self, request):
         """Records the request's CSeq and returns True if it is higher than all earlier ones (12.2.2).
 
         An ACK has the number of its INVITE, so it is always accepted and not recorded.
@@ -131,7 +131,7 @@
         self.remote_seq = number
         return True
 
-    def refresh(self, message):
+    def refresh_target(self, message):
         """Takes the remote target from a target refresh request or its 2xx: re-INVITE, UPDATE (12.2.1.2, 12.2.2).
 
         A Contact that is malformed or has no usable address leaves the target as it is.
@@ -139,7 +139,7 @@
         try:
             contact = message.contact
             if contact is not None and contact.uri != self.target:
-                hop_of(contact.uri)
+                hop_for_uri(contact.uri)
                 self.target = contact.uri
                 if self.hop.conn == 0:
                     self.hop = self.next_hop()
--- a/thorndale/sip/framing.py
+++ b/thorndale/sip/framing.py
@@ -5,7 +5,7 @@
 """
 
 from thorndale.sip.errors import SipError
-from thorndale.sip.message import MAX_BODY, MAX_HEAD
+from thorndale.sip.message import MAX_BODY_BYTES, MAX_HEAD_BYTES
 
 KEEPALIVE = b"\r\n\r\n"  # RFC 5626 section 4.4.1: answered with one CRLF
 _LENGTH_NAMES = (b"content-length", b"l")
@@ -14,7 +14,7 @@
 class Framer:
     """`feed(data)` returns the messages completed so far, as bytes, and `KEEPALIVE` for each ping.
 
-    The buffer holds at most MAX_HEAD + MAX_BODY bytes; a message above a limit raises SipError.
+    The buffer holds at most MAX_HEAD_BYTES + MAX_BODY_BYTES; a message above a limit raises SipError.
     """
 
     # _message_length: length of the message at the start of the buffer, 0 while its header is incomplete.
@@ -30,7 +30,7 @@
         return bool(self._buffer)
 
     @property
-    def held(self):
+    def buffered(self):
         """The bytes of the incomplete message."""
         return self._buffer
 
@@ -58,11 +58,11 @@
                 end = buffer.find(b"\r\n\r\n", max(0, self._scanned - 3))
                 if end < 0:
                     self._scanned = len(buffer)
-                    if len(buffer) > MAX_HEAD:
-                        raise SipError(f"more than {MAX_HEAD} bytes of header fields", "stream", 513)
+                    if len(buffer) > MAX_HEAD_BYTES:
+                        raise SipError(f"more than {MAX_HEAD_BYTES} bytes of header fields", "stream", 513)
                     break
-                if end > MAX_HEAD:
-                    raise SipError(f"more than {MAX_HEAD} bytes of header fields", "stream", 513)
+                if end > MAX_HEAD_BYTES:
+                    raise SipError(f"more than {MAX_HEAD_BYTES} bytes of header fields", "stream", 513)
                 self._message_length = end + 4 + _body_length(bytes(buffer[:end]))
             if len(buffer) < self._message_length:
                 break
@@ -83,6 +83,6 @@
             if length >= 0 and length != int(value):
                 raise SipError("two different values", "Content-Length")
             length = int(value)
-    if length > MAX_BODY:
-        raise SipError(f"more than {MAX_BODY} bytes", "Content-Length", 513)
+    if length > MAX_BODY_BYTES:
+        raise SipError(f"more than {MAX_BODY_BYTES} bytes", "Content-Length", 513)
     return max(length, 0)
--- a/thorndale/sip/message.py
+++ b/thorndale/sip/message.py
@@ -7,8 +7,8 @@
 from thorndale.sip import headers as h
 from thorndale.sip.errors import SipError
 
-MAX_HEAD = 16_384  # bytes of start line and header fields together: several times the largest observed in use
-MAX_BODY = 65_536  # bytes; a session description has a few hundred
+MAX_HEAD_BYTES = 16_384  # bytes of start line and header fields together: several times the largest observed in use
+MAX_BODY_BYTES = 65_536  # bytes; a session description has a few hundred
 MAX_FIELDS = 256  # header fields of one message
 FORBIDDEN_URI_CHARS = frozenset('<>"\t\n\r')
 VERSION = "SIP/2.0"
@@ -50,7 +50,7 @@
 )
 REQUIRED_HEADERS = frozenset(("via", "from", "to", "call-id", "cseq"))
 SINGLE_HEADERS = frozenset(("from", "to", "call-id", "cseq", "content-length", "max-forwards"))
-REASONS = {
+REASON_TEXT = {
     100: "Trying",
     180: "Ringing",
     181: "Call Is Being Forwarded",
@@ -91,7 +91,7 @@
 _MAX_HEADER_KEYS = 1024
 
 
-def key_of(name):
+def header_key(name):
     """The canonical key of a header name: lower case, compact forms expanded. Raises SipError if it is not a token."""
     key = _HEADER_KEYS.get(name)
     if key is None:
@@ -188,12 +188,12 @@
         return self.to.params.get("tag", "")
 
     def add(self, name, value):
-        self.fields.append((key_of(name), name, value))
+        self.fields.append((header_key(name), name, value))
         return self
 
     def set(self, name, value):
         """Replaces all fields of this name by one, at the position of the first; appends it if there is none."""
-        key = key_of(name)
+        key = header_key(name)
         for at, field in enumerate(self.fields):
             if field[0] == key:
                 self.fields[at] = (key, name, value)
@@ -225,8 +225,8 @@
     end = data.find(b"\r\n\r\n")
     if end < 0:
         raise SipError("no empty line after the header fields", "message")
-    if end > MAX_HEAD:
-        raise SipError(f"more than {MAX_HEAD} bytes of header fields", "message", 513)
+    if end > MAX_HEAD_BYTES:
+        raise SipError(f"more than {MAX_HEAD_BYTES} bytes of header fields", "message", 513)
     head = bytes(data[:end]).decode("utf-8", "surrogateescape")
     if "\r\n " in head or "\r\n\t" in head:
         head = head.replace("\r\n\t", "\r\n ")
@@ -245,7 +245,7 @@
                 raise SipError(f"no ':' in {line[:30]!r}", "header")
             if "\n" in value or "\r" in value or "\0" in value:
                 raise SipError("a bare line end or NUL inside", name[:30])
-            fields.append((keys.get(name) or key_of(name), name.rstrip(" \t"), value.strip(" \t")))
+            fields.append((keys.get(name) or header_key(name), name.rstrip(" \t"), value.strip(" \t")))
         except SipError as field_error:
             error = error or field_error
     if error is not None:
@@ -262,7 +262,7 @@
 def _cut_body(message, body, stream):
     content_length = message.get("content-length")
     if content_length:
-        length = h.parse_count(content_length, "Content-Length", MAX_BODY)
+        length = h.parse_count(content_length, "Content-Length", MAX_BODY_BYTES)
         if length > len(body):
             raise SipError(f"{length} bytes declared, {len(body)} received", "Content-Length")
         return body[:length]
@@ -338,8 +338,8 @@
         elif key == "timestamp" and status == 100:
             fields.append(field)
     for name, value in extra:
-        fields.append((key_of(name), name, value))
-    return Message("", "", status, reason or REASONS.get(status, "Unknown"), fields, body)
+        fields.append((header_key(name), name, value))
+    return Message("", "", status, reason or REASON_TEXT.get(status, "Unknown"), fields, body)
 
 
 def _has_to_tag(request):
@@ -349,7 +349,7 @@
         return False
 
 
-def received_from(message, host, port):
+def add_received_params(message, host, port):
     """Adds the source of the request to its top Via: `received` (RFC 3261 section 18.2.1) and `rport`
     (RFC 3581 section 4). Raises SipError."""
     via = message.via
--- a/thorndale/sip/transaction.py
+++ b/thorndale/sip/transaction.py
@@ -1,6 +1,6 @@
 """The four transaction state machines of RFC 3261 section 17, with the corrections of RFC 6026, as tables.
 
-A row maps (state, event) to (next state, actions in order). `Layer` matches messages to transactions
+A row maps (state, event) to (next state, actions in order). `TransactionLayer` matches messages to transactions
 and creates new ones; it sends through its `send(hop, bytes)`.
 
 A hop is (transport, host, port, connection). Connection 0 stands for a datagram, or for any connection to that address
@@ -33,7 +33,7 @@
     conn: int = 0
 
 
-class Times(NamedTuple):
+class TimerDurations(NamedTuple):
     """Timer values (RFC 3261 section 17.1.1.1), in microseconds."""
 
     t1: int = 500_000
@@ -42,7 +42,7 @@
     timer_d: int = 32_000_000  # on datagrams; RFC 3261 requires at least 32 s
 
     @property
-    def most(self):
+    def transaction_timeout(self):
         """64 * T1: timers B, F, H, J, L and M."""
         return 64 * self.t1
 
@@ -141,7 +141,7 @@
         pass
 
 
-GONE = _NullUser()
+NULL_USER = _NullUser()
 
 
 class Transaction:
@@ -177,7 +177,7 @@
     def is_terminated(self):
         return self.state == "terminated"
 
-    def event(self, now, name, message=None):
+    def handle_event(self, now, name, message=None):
         row = self.table.get((self.state, name))
         if row is None:
             return
@@ -185,11 +185,11 @@
         for action in row[1]:
             ACTIONS[action](self, now, message)
         if self.state == "terminated":
-            self.layer.forget(self)
+            self.layer.remove(self)
 
     def due(self, now, name):
         self.timers.pop(name, None)
-        self.event(now, name)
+        self.handle_event(now, name)
 
     def start_timer(self, now, name, delay):
         self.timers[name] = self.layer.timers.set(now + delay, self, name)
@@ -204,18 +204,18 @@
         self.send_response(now, response_to(self.message, status, to_tag, reason, extra, body))
 
     def send_response(self, now, message):
-        self.event(now, _class_of(message.status), message)
+        self.handle_event(now, _class_of(message.status), message)
 
-    def quiet(self, now):
-        self.event(now, "stop retransmission")
+    def stop_retransmitting(self, now):
+        self.handle_event(now, "stop retransmission")
 
-    def slim(self):
+    def drop_request(self):
         """Releases the request and the user, which no later state needs.
 
         At some thousand transactions per second, each waiting half a minute for retransmissions, these transactions
         take most of the memory.
         """
-        self.message, self.user = None, GONE
+        self.message, self.user = None, NULL_USER
 
 
 def _send(tx, now, message):
@@ -283,7 +283,7 @@
     "send": _send,
     "retransmit": _retransmit,
     "ack": _send_ack,
-    "drop request": lambda tx, now, message: tx.slim(),
+    "drop request": lambda tx, now, message: tx.drop_request(),
     "deliver": lambda tx, now, message: tx.user.response(now, tx, message),
     "report timeout": _report_failure("timeout"),
     "report refused": _report_failure("refused"),
@@ -295,17 +295,17 @@
     "restart G": _restart("timer G", False, True),
     "start D": _start("timer D", lambda t: t.timer_d, False),
     "start G": _start_timer_g,
-    "start H": _start("timer H", lambda t: t.most),
+    "start H": _start("timer H", lambda t: t.transaction_timeout),
     "start I": _start("timer I", lambda t: t.t4, False),
-    "start J": _start("timer J", lambda t: t.most, False),
+    "start J": _start("timer J", lambda t: t.transaction_timeout, False),
     "start K": _start("timer K", lambda t: t.t4, False),
-    "start L": _start("timer L", lambda t: t.most),
-    "start M": _start("timer M", lambda t: t.most),
+    "start L": _start("timer L", lambda t: t.transaction_timeout),
+    "start M": _start("timer M", lambda t: t.transaction_timeout),
     **{f"stop {n}": _stop(f"timer {n}") for n in "ABEFGH"},
 }
 
 
-class Layer:
+class TransactionLayer:
     """All transactions of one SIP element.
 
     `limit` bounds their number: at the limit a received request is passed to `user.full` without a transaction, and
@@ -314,33 +314,33 @@
 
     def __init__(self, timers, times, limit, user, send):
         self.timers, self.times, self.limit, self.user, self.send = timers, times, limit, user, send
-        self.servers, self.clients = {}, {}
+        self.server_transactions, self.client_transactions = {}, {}
         self.invites_by_identity = {}  # (Call-ID, From tag, CSeq) to server transaction, to detect merged requests
         self.by_hop = {}  # hop to the transactions that a lost connection or an unreachable port terminates
 
     def __len__(self):
-        return len(self.servers) + len(self.clients)
+        return len(self.server_transactions) + len(self.client_transactions)
 
     def receive(self, now, message, hop):
         """Handles one message that has passed `check`. Raises SipError only for errors that `check` does not detect."""
         via = message.via
         if message.status:
-            tx = self.clients.get((via.params.get("branch", ""), message.cseq[1]))
+            tx = self.client_transactions.get((via.params.get("branch", ""), message.cseq[1]))
             if tx is None:
                 self.user.stray(now, message, hop)
             else:
-                tx.event(now, _class_of(message.status), message)
+                tx.handle_event(now, _class_of(message.status), message)
             return
-        key = self.key(message, via)
-        tx = self.servers.get(key)
+        key = self.server_key(message, via)
+        tx = self.server_transactions.get(key)
         if message.method == "ACK":
             if tx is None or tx.state == "accepted":
                 self.user.ack(now, message, hop)
             else:
-                tx.event(now, "ACK", message)
+                tx.handle_event(now, "ACK", message)
             return
         if tx is not None:
-            tx.event(now, "request", message)
+            tx.handle_event(now, "request", message)
             return
         if len(self) >= self.limit:
             self.user.full(now, message, hop)
@@ -359,15 +359,15 @@
             # RFC 3261 section 8.2.2.2: the same request received over another path.
             identity = (message.call_id, message.from_tag, message.cseq[0])
             if identity in self.invites_by_identity:
-                self._register(self.servers, tx)
+                self._register(self.server_transactions, tx)
                 tx.respond(now, 482, "merged")
                 return
             self.invites_by_identity[identity], tx.request_identity = tx, identity
-        self._register(self.servers, tx)
+        self._register(self.server_transactions, tx)
         self.user.request(now, tx, message)
 
     @staticmethod
-    def key(message, via, method=""):
+    def server_key(message, via, method=""):
         """The key of a request's server transaction (RFC 3261 section 17.2.3).
 
         It includes Call-ID and From tag, so that a request of another call with a guessed or repeated branch never
@@ -380,9 +380,9 @@
             return (branch, via.host.lower(), via.port, method, message.call_id, message.from_tag)
         return ("2543", message.cseq[0], message.get("via"), method, message.call_id, message.from_tag)
 
-    def cancelled(self, message):
+    def cancelled_invite(self, message):
         """The server transaction of the INVITE that this CANCEL cancels, or None (RFC 3261 section 9.2)."""
-        return self.servers.get(self.key(message, message.via, "INVITE"))
+        return self.server_transactions.get(self.server_key(message, message.via, "INVITE"))
 
     def request(self, now, message, hop, user):
         """Sends a request other than ACK through a new client transaction; returns None at the limit."""
@@ -390,7 +390,7 @@
             return None
         invite = message.method == "INVITE"
         branch = message.via.params.get("branch", "")
-        if not branch.startswith(BRANCH_COOKIE) or (branch, message.method) in self.clients:
+        if not branch.startswith(BRANCH_COOKIE) or (branch, message.method) in self.client_transactions:
             raise SipError("the branch is already in use or lacks the cookie", "Via")
         tx = Transaction(
             self,
@@ -402,30 +402,32 @@
             "calling" if invite else "trying",
         )
         tx.wire = message.encode()
-        self._register(self.clients, tx)
-        tx.start_timer(now, "timer B" if invite else "timer F", self.times.most)
+        self._register(self.client_transactions, tx)
+        tx.start_timer(now, "timer B" if invite else "timer F", self.times.transaction_timeout)
         if not tx.reliable:
             tx.retransmit_interval = self.times.t1
             tx.start_timer(now, "timer A" if invite else "timer E", tx.retransmit_interval)
         self.send(hop, tx.wire)
         return tx
 
-    def lost(self, now, hop, kind):
+    def fail_hop(self, now, hop, kind):
         """Reports to the transactions of a hop that its connection was lost ('lost'), or that it could not be connected
         or reached ('refused')."""
         for tx in sorted(self.by_hop.get(hop, ()), key=lambda t: t.key):
-            tx.event(now, kind)
+            tx.handle_event(now, kind)
 
     def _register(self, transactions, tx):
         transactions[tx.key] = tx
-        if transactions is self.clients or tx.hop.transport == "tcp":
+        if transactions is self.client_transactions or tx.hop.transport == "tcp":
             self.by_hop.setdefault(tx.hop, set()).add(tx)
 
-    def forget(self, tx):
+    def remove(self, tx):
         for name in list(tx.timers):
             tx.stop_timer(name)
-        tx.user = GONE  # breaks the reference cycle with the call, which would stay until a garbage collection
-        transactions = self.clients if tx.table is INVITE_CLIENT or tx.table is CLIENT else self.servers
+        tx.user = NULL_USER  # breaks the reference cycle with the call, which would stay until a garbage collection
+        transactions = (
+            self.client_transactions if tx.table is INVITE_CLIENT or tx.table is CLIENT else self.server_transactions
+        )
         if transactions.get(tx.key) is tx:
             del transactions[tx.key]
         if tx.request_identity is not None and self.invites_by_identity.get(tx.request_identity) is tx:
--- a/thorndale/sip/uri.py
+++ b/thorndale/sip/uri.py
@@ -101,7 +101,7 @@
     )
 
 
-def digits(uri):
+def dialled_number(uri):
     """The dialled number: the user part without visual separators (RFC 3966 section 5.1.1)."""
     if VISUAL_SEPARATORS.isdisjoint(uri.user):
         return uri.user
--- a/thorndale/standins/agent.py
+++ b/thorndale/standins/agent.py
@@ -4,7 +4,7 @@
 from thorndale.net.transport import TransportLayer
 from thorndale.sip import message as m
 from thorndale.sip.errors import SipError
-from thorndale.sip.transaction import Hop, Layer, Times
+from thorndale.sip.transaction import Hop, TimerDurations, TransactionLayer
 from thorndale.sip.uri import host_port
 from thorndale.timers import Timers
 
@@ -15,8 +15,8 @@
     def __init__(self, loop, limits, place, saw, times=None):
         self.loop, self.limits, self.place, self.saw = loop, limits, place, saw
         self.timers = Timers()
-        self.times = times or Times()
-        self.layer = Layer(self.timers, self.times, 1 << 20, self, self.send)
+        self.times = times or TimerDurations()
+        self.layer = TransactionLayer(self.timers, self.times, 1 << 20, self, self.send)
         self.ends, self.port, self.host, self.serial = None, 0, "127.0.0.1", 0
         self.mute = False  # takes nothing in and lets nothing out, as a hung process does
 
@@ -43,14 +43,14 @@
             message = m.parse(data, stream)
             m.check(message)
             if message.method and not stream:
-                m.received_from(message, hop.host, hop.port)
+                m.add_received_params(message, hop.host, hop.port)
                 hop = Hop("udp", *m.reply_address(message))
             self.layer.receive(now, message, hop)
         except SipError as fault:
             self.saw(now, self.place, "fault", str(fault).encode())
 
     def lost(self, now, hop, kind):
-        self.layer.lost(now, hop, kind)
+        self.layer.fail_hop(now, hop, kind)
 
     def record_loop_delay(self, now, us):
         pass
--- a/thorndale/standins/box.py
+++ b/thorndale/standins/box.py
@@ -70,9 +70,9 @@
             self.timers.cancel(call.timer)
         self.calls.clear()
         await self.close()
-        for tx in [*self.layer.servers.values(), *self.layer.clients.values()]:
+        for tx in [*self.layer.server_transactions.values(), *self.layer.client_transactions.values()]:
             tx.state = "terminated"
-            self.layer.forget(tx)
+            self.layer.remove(tx)
 
     def set(self, name, value):
         """A fault begins or ends."""
@@ -117,7 +117,7 @@
         if method == "INVITE" and not message.to_tag:
             self._setup(now, tx)
         elif method == "CANCEL":
-            invite = self.layer.cancelled(message)
+            invite = self.layer.cancelled_invite(message)
             tx.respond(now, 200 if invite else 481, "c")
             call = self.calls.get(message.call_id)
             if invite and call and call.state == "working":
@@ -192,11 +192,11 @@
             return
         tag = f"t{len(self.calls)}-{now:x}"
         try:
-            call.dialog = Dialog.of_request(tx.message, tag, tx.hop)
+            call.dialog = Dialog.from_invite(tx.message, tag, tx.hop)
         except SipError:
             self._drop(call)
             return
-        call.state, call.gap, call.until = "answered", self.times.t1, now + self.times.most
+        call.state, call.gap, call.until = "answered", self.times.t1, now + self.times.transaction_timeout
         extra = [("Contact", self._asked_at(tx.message)), *self.load(now, tx)]
         tx.respond(now, 180, tag, extra=extra)
         tx.respond(now, 200, tag, extra=[*extra, ("Content-Type", "application/sdp")], body=b"v=0\r\ns=box\r\n")
--- a/thorndale/standins/callers.py
+++ b/thorndale/standins/callers.py
@@ -159,7 +159,7 @@
         if message.status < 300:
             if attempt.dialog is None:
                 try:
-                    attempt.dialog = Dialog.of_response(tx.message, message, tx.hop)
+                    attempt.dialog = Dialog.from_response(tx.message, message, tx.hop)
                 except SipError:
                     return
                 self.dialogs[attempt.tag] = attempt
--- a/thorndale/standins/onward.py
+++ b/thorndale/standins/onward.py
@@ -85,7 +85,7 @@
             return
         if leg.dialog is None:
             try:
-                leg.dialog = Dialog.of_response(tx.message, message, tx.hop)
+                leg.dialog = Dialog.from_response(tx.message, message, tx.hop)
             except SipError:
                 self.refused(now, leg, 500, [])
                 return
--- a/thorndale/standins/parts.py
+++ b/thorndale/standins/parts.py
@@ -5,7 +5,7 @@
 
 from thorndale.config.settings import Limits
 from thorndale.net.clock import now_us
-from thorndale.sip.transaction import Times
+from thorndale.sip.transaction import TimerDurations
 from thorndale.standins.box import Box
 from thorndale.standins.callers import Callers
 from thorndale.standins.onward import OnwardBox
@@ -17,7 +17,7 @@
 
 
 def times_of(day):
-    return Times(day.t1_ms * 1000, 8000 * day.t1_ms, 10_000 * day.t1_ms, 64_000 * day.t1_ms)
+    return TimerDurations(day.t1_ms * 1000, 8000 * day.t1_ms, 10_000 * day.t1_ms, 64_000 * day.t1_ms)
 
 
 def work_of(day, box):
--- a/thorndale/standins/platform.py
+++ b/thorndale/standins/platform.py
@@ -171,7 +171,7 @@
 
 def _reply(m, status, body=b""):
     return (
-        f"SIP/2.0 {status} {message.REASONS.get(status, 'X')}\r\nCall-ID: {m.call_id}\r\nCSeq: {m.get('cseq')}\r\n"
+        f"SIP/2.0 {status} {message.REASON_TEXT.get(status, 'X')}\r\nCall-ID: {m.call_id}\r\nCSeq: {m.get('cseq')}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     ).encode() + body
 
--- a/thorndale/standins/poolbook.py
+++ b/thorndale/standins/poolbook.py
@@ -59,7 +59,7 @@
         else:
             tag = f"b{now:x}{len(self.subscribers)}"
             try:
-                dialog = Dialog.of_request(message, tag, tx.hop)
+                dialog = Dialog.from_invite(message, tag, tx.hop)
             except SipError:
                 tx.respond(now, 400, "x")
                 return
