--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Short, dense trials of real border proxies under drawn faults, judged by the sockets alone."""
+"""Short, dense soak trials of real border proxies under randomly drawn faults, judged only by socket traffic."""
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge of the soak: each rule is broken by a story of its own, and kept by its neighbour."""
+"""The judge of the soak: for each rule, one sequence of events that breaks it and a similar one that keeps it."""
 
 import pytest
 
@@ -23,69 +23,69 @@
     return connection
 
 
-def stands(judge, at=1.0):
+def establish_call(judge, at=1.0):
     connection = set_up(judge, at)
     attempt = judge.attempt(at + 0.01, SERVER, 0, CALL)
-    judge.stood(CALL, SERVER, BODY)
+    judge.answer_made(CALL, SERVER, BODY)
     judge.attempt_ended(at + 0.02, CALL, attempt, "answered")
     judge.answered(at + 0.03, CALL, BODY)
     return connection
 
 
 def rules_broken(judge, now=30.0):
-    return [found.rule for found in judge.finish(now)]
+    return [violation.rule for violation in judge.finish(now)]
 
 
 def test_a_call_that_is_answered_and_released_in_time_breaks_nothing(judge):
-    stands(judge)
-    judge.over(2.0, CALL, 0, SERVER, "released", True)
+    establish_call(judge)
+    judge.call_ended(2.0, CALL, 0, SERVER, "released", True)
     judge.released(2.9, CALL, 16)
     assert not rules_broken(judge)
 
 
-@pytest.mark.parametrize(("told_at", "broken"), [(None, ["lost"]), (3.2, ["lost"]), (3.0, [])])
-def test_a_release_is_told_within_a_second(judge, told_at, broken):
-    stands(judge)
-    judge.over(2.0, CALL, 0, SERVER, "released", True)
-    if told_at is not None:
-        judge.released(told_at, CALL, 16)
+@pytest.mark.parametrize(("released_at", "broken"), [(None, ["lost"]), (3.2, ["lost"]), (3.0, [])])
+def test_a_release_reaches_the_caller_within_a_second(judge, released_at, broken):
+    establish_call(judge)
+    judge.call_ended(2.0, CALL, 0, SERVER, "released", True)
+    if released_at is not None:
+        judge.released(released_at, CALL, 16)
     assert rules_broken(judge) == broken
 
 
-# Guards against a wrong verdict: a server whose answer crossed the end of its connection holds the call as well.
-def test_the_end_at_a_server_whose_answer_never_reached_the_caller_is_owed_to_nobody(judge):
-    stands(judge)
-    judge.stood(CALL, "s-0000000b", b"crossed")
-    judge.over(1.5, CALL, 0, "s-0000000b", "released", True)
-    assert not judge.owed(1.6) and not rules_broken(judge)
-    judge.over(9.0, CALL, 0, SERVER, "released", True)
+# Prevents a false violation: a server whose answer crossed the close of its connection holds the call as well.
+def test_the_end_at_a_server_whose_answer_never_reached_the_caller_needs_no_release(judge):
+    establish_call(judge)
+    judge.answer_made(CALL, "s-0000000b", b"crossed")
+    judge.call_ended(1.5, CALL, 0, "s-0000000b", "released", True)
+    assert not judge.has_pending(1.6) and not rules_broken(judge)
+    judge.call_ended(9.0, CALL, 0, SERVER, "released", True)
     assert rules_broken(judge) == ["lost"]
 
 
-@pytest.mark.parametrize(("told_at", "broken"), [(1.5, ["lost"]), (1.98, []), (2.5, [])])
-def test_an_end_is_not_told_before_it_has_come(judge, told_at, broken):
-    stands(judge)
-    judge.released(told_at, CALL, 16)
-    judge.over(2.0, CALL, 0, SERVER, "released", True)
+@pytest.mark.parametrize(("released_at", "broken"), [(1.5, ["lost"]), (1.98, []), (2.5, [])])
+def test_a_release_before_the_call_ended_is_found(judge, released_at, broken):
+    establish_call(judge)
+    judge.released(released_at, CALL, 16)
+    judge.call_ended(2.0, CALL, 0, SERVER, "released", True)
     assert rules_broken(judge) == broken
 
 
-def test_a_call_that_nobody_has_ended_is_not_told_over(judge):
-    stands(judge)
+def test_a_release_of_a_call_that_never_ended_is_found(judge):
+    establish_call(judge)
     judge.released(5.0, CALL, 16)
     assert rules_broken(judge) == ["lost"]
 
 
-def test_a_server_out_of_reach_may_be_taken_for_dead(judge):
-    stands(judge)
-    judge.trouble(2.0, 0, SERVER, 8.0)
+def test_calls_at_an_unreachable_server_may_be_released(judge):
+    establish_call(judge)
+    judge.link_fault(2.0, 0, SERVER, 8.0)
     judge.released(6.0, CALL, 41)
     assert not rules_broken(judge)
 
 
 def test_a_release_that_could_not_be_sent_has_eight_seconds(judge):
-    stands(judge)
-    judge.over(2.0, CALL, 0, SERVER, "cut", False)
+    establish_call(judge)
+    judge.call_ended(2.0, CALL, 0, SERVER, "cut", False)
     judge.released(9.9, CALL, 41)
     assert not rules_broken(judge)
 
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(("sent_at", "broken"), [(5.6, []), (5.8, ["lost"])])
-def test_what_a_kill_finds_unanswered_is_lost_where_it_came_late(judge, sent_at, broken):
+def test_a_set_up_left_unanswered_by_a_kill_is_lost_if_it_came_late_after_sigterm(judge, sent_at, broken):
     judge.run(0, told_at=5.0)
     connection = set_up(judge, sent_at, 3.0)
     judge.run(0, killed_at=6.0)
@@ -108,7 +108,7 @@
     assert rules_broken(judge) == broken
 
 
-def test_an_end_that_nobody_asked_for_is_a_crash(judge):
+def test_an_exit_without_a_signal_is_a_crash(judge):
     judge.ended(3.0, 0, 0, 0)
     assert rules_broken(judge) == ["crash"]
 
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("second", ["answered", "released"])
 def test_a_second_final_answer_is_found(judge, second):
     set_up(judge)
-    judge.stood(CALL, SERVER, BODY)
+    judge.answer_made(CALL, SERVER, BODY)
     judge.released(1.1, CALL, 42)
     if second == "answered":
         judge.answered(1.2, CALL, BODY)
@@ -129,7 +129,7 @@
     connection = set_up(judge)
     judge.attempt_ended(1.1, CALL, judge.attempt(1.05, SERVER, 0, CALL), "answered")
     judge.closed(1.1, connection, "caller")
-    judge.over(2.0, CALL, 0, SERVER, "released", True)
+    judge.call_ended(2.0, CALL, 0, SERVER, "released", True)
     judge.released(2.1, CALL, 16)
     judge.released(2.4, CALL, 16)
     assert not rules_broken(judge)
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize(("second_at", "broken"), [(1.2, ["duplicate"]), (1.5, [])])
-def test_two_attempts_out_at_one_time_are_found(judge, second_at, broken):
+def test_overlapping_attempts_are_found(judge, second_at, broken):
     set_up(judge)
     first = judge.attempt(1.1, SERVER, 0, CALL)
     second = judge.attempt(second_at, "s-0000000b", 0, CALL)
@@ -153,8 +153,8 @@
 
 
 @pytest.mark.parametrize(("at", "broken"), [(1.5, []), (1.6, ["drain"])])
-def test_an_attempt_at_a_server_told_leaving_has_its_grace(judge, at, broken):
-    judge.told(1.0, 0, SERVER, 1, 1.0)
+def test_an_attempt_at_a_leaving_server_has_a_grace_period(judge, at, broken):
+    judge.server_announced(1.0, 0, SERVER, 1, 1.0)
     set_up(judge, at)
     judge.attempt_ended(at, CALL, judge.attempt(at, SERVER, 0, CALL), "refused")
     judge.released(at + 0.1, CALL, 41)
@@ -162,15 +162,15 @@
 
 
 @pytest.mark.parametrize(("at", "broken"), [(2.3, []), (2.4, ["left"])])
-def test_an_attempt_for_a_caller_that_has_left_is_found(judge, at, broken):
+def test_an_attempt_for_a_caller_that_hung_up_is_found(judge, at, broken):
     set_up(judge, 1.9)
-    judge.left(2.0, CALL)
+    judge.call_abandoned(2.0, CALL)
     judge.attempt_ended(at, CALL, judge.attempt(at, SERVER, 0, CALL), "cancelled")
     assert rules_broken(judge) == broken
 
 
-def test_more_than_a_cold_server_bears_is_found(judge):
-    """The one before took 30 in 1.5 s at its busiest: 2 x 30 x 0.28, and 3 x root of that and 3, are 32.1."""
+def test_too_many_set_ups_at_a_cold_server_are_found(judge):
+    """The replaced server got at most 30 in 1.5 s: with N = 2 x 30 x 0.28, N + 3 x sqrt(N) + 3 = 32.1 may come."""
     for number in range(30):
         call = f"a{number:07x}"
         set_up(judge, 1.0 + number / 100, call=call)
@@ -183,7 +183,7 @@
         judge.attempt_ended(3.5, call, judge.attempt(3.0 + number / 1000, SERVER, 0, call), "refused")
         judge.released(3.6, call, 41)
         if number == 31:
-            assert not judge.breaks
+            assert not judge.violations
     assert set(rules_broken(judge)) == {"failback"}
 
 
@@ -191,10 +191,10 @@
     assert draw(7) == draw(7) != draw(8)
     plans = [draw(seed) for seed in range(1, 60)]
     assert {plan.proxies for plan in plans} == set(range(3, 9))
-    played = {fault.what for plan in plans for fault in plan.faults}
+    covered = {fault.what for plan in plans for fault in plan.faults}
     from bench.soak.play import FAULTS
 
-    assert played == set(FAULTS)
+    assert covered == set(FAULTS)
 
 
 @pytest.mark.parametrize(("gap_s", "broken"), [(0.004, ["connections"]), (0.006, [])])
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak itself, short: a few seeds keep the rules, and planted faults are found."""
+"""Short runs of the soak: a few seeds keep the rules, and planted faults are found."""
 
 import asyncio
 import subprocess
@@ -22,15 +22,15 @@
     assert "6 seeds kept the rules, 0 broke one, 0 not played" in done.stdout
 
 
-def test_a_proxy_that_forgets_one_answer_in_a_thousand_is_found_and_the_calls_way_is_shown():
+def test_a_proxy_that_drops_one_answer_in_a_thousand_is_found_and_the_call_history_is_shown():
     done = soak("--first", "2", "--seeds", "3", "--planted", "forgets")
     assert done.returncode == 1, done.stdout + done.stderr[-2_000:]
-    assert ": lost at " in done.stdout and "again: python -m bench.soak --seed" in done.stdout
+    assert ": lost at " in done.stdout and "rerun: python -m bench.soak --seed" in done.stdout
     assert '"did": "set-up"' in done.stdout
 
 
 def restart_while_servers_are_slow():
-    """A plan in which set-ups are open until the very end of a process: every caller has free connections left."""
+    """A plan in which set-ups are pending until the end of a process, since no caller runs out of free connections."""
     drawn = draw(1)
     kind = drawn.settings["classes"][0] | {"giveUpMs": 1500.0, "goalTimeMs": 1500.0}
     family = drawn.settings["familyInfo"] | {"classHoldMs": [300.0], "classWidth": [1], "skilledPools": [[0, 1]]}
@@ -45,6 +45,6 @@
 
 
 @pytest.mark.parametrize(("command", "found"), [(NODE, set()), (("-m", "bench.soak.broken", "ends-early"), {"lost"})])
-def test_a_proxy_that_ends_50_ms_early_is_found_and_a_sound_one_is_not(tmp_path, command, found):
+def test_a_proxy_that_ends_50_ms_early_is_found_and_a_correct_one_is_not(tmp_path, command, found):
     trial = Trial(restart_while_servers_are_slow(), command, tmp_path)
     assert {broken.rule for broken in asyncio.run(trial.play())} == found
