--- a/tests/call/rig.py
+++ b/tests/call/rig.py
@@ -125,7 +125,7 @@
         self.deliver(response.encode(), hop)
 
     def establish_call(self, hop=CALLER, **overrides):
-        """Establishes a call at box1. Returns the caller's 200 and the server's INVITE."""
+        """Establishes a call at the server box1. Returns the caller's 200 and the server's INVITE."""
         self.deliver(self.invite(hop=hop, **overrides), hop)
         invite = self.sole_request(SERVER1, "INVITE")
         self.answer(invite, 100)
--- a/tests/call/test_book.py
+++ b/tests/call/test_book.py
@@ -40,7 +40,7 @@
     assert server_states(rig) == ["serving", "gone"]
 
 
-def test_a_book_that_starts_anew_counts_from_its_own_beginning():
+def test_a_restarted_book_has_its_own_version_numbers():
     rig, subscribe = subscribed_rig()
     notify(rig, subscribe, 40, True, [("box1", "draining"), ("box2", "serving")])
     notify(rig, subscribe, 41, False, [("box1", "serving")], book="c", seq=41)
@@ -49,7 +49,7 @@
     assert server_states(rig) == ["serving", "serving"]
 
 
-def test_unreadable_and_unknown_are_said_and_change_nothing():
+def test_unknown_servers_and_malformed_states_are_logged_and_change_nothing():
     rig, subscribe = subscribed_rig()
     notify(rig, subscribe, 1, True, [("box1", "draining"), ("box9", "serving")])
     assert server_states(rig)[0] == "draining"
@@ -59,7 +59,7 @@
     assert "unknown server in the pool book" in events and "pool book refused" in events
 
 
-def test_it_is_refreshed_and_a_lost_subscription_leaves_the_list_in_force():
+def test_the_subscription_is_refreshed_and_its_loss_leaves_the_list_in_force():
     rig, subscribe = subscribed_rig()
     notify(rig, subscribe, 1, True, [("box1", "draining"), ("box2", "serving")])
     rig.take_sent()
@@ -73,7 +73,7 @@
     assert len(fresh) == 1 and fresh[0].to_tag == "" and fresh[0].call_id != subscribe.call_id
 
 
-def test_a_book_that_answers_nothing_is_asked_again_ever_later():
+def test_an_unresponsive_book_is_retried_with_growing_delays():
     rig = Rig(BOOK_SETTING + ", sip: {t1_ms: 10, t2_ms: 80}")
     rig.run(30_000_000)
     attempts = {r.call_id for r in rig.take_sent(BOOK) if r.method == "SUBSCRIBE"}
@@ -82,7 +82,7 @@
     assert methods(rig.take_sent(SERVER1)) == ["INVITE"]  # the servers of the settings are used meanwhile
 
 
-def test_started_servers_are_told_on_our_clock():
+def test_server_start_times_are_converted_to_the_proxys_clock():
     rig, subscribe = subscribed_rig()
     border = rig.border
     border.book.wall_offset_us = 1_764_000_000_000_000 - rig.now
@@ -92,7 +92,7 @@
     assert entries == (io.Server(0, 0, io.SERVING, rig.now - 400_000), io.Server(1, 1, io.SERVING, 0))
 
 
-def test_the_copy_on_disk_is_whole_or_refused(tmp_path):
+def test_a_truncated_or_corrupt_copy_on_disk_is_refused(tmp_path):
     body = Body("b", 3, True, [Entry("box1", "draining", 7)])
     data = encode_copy(body)
     assert decode_copy(data) == body
@@ -113,7 +113,7 @@
     assert server_states(rig) == ["draining", "gone"]
 
 
-def test_read_names_what_is_wrong():
+def test_a_malformed_body_is_refused():
     for text in (b"{", b"[]", b'{"book":1}', b'{"book":"a","version":1,"full":true,"servers":[{"name":"x"}]}'):
         with pytest.raises(SipError):
             parse_body(text)
--- a/tests/call/test_calls.py
+++ b/tests/call/test_calls.py
@@ -42,7 +42,7 @@
     assert methods(rig.take_sent(SERVER1)) == ["ACK"]
 
 
-def test_cancel_before_any_provisional_is_held_until_one_comes():
+def test_cancel_before_any_provisional_is_delayed_until_one_comes():
     rig = Rig()
     rig.deliver(rig.invite())
     invite = rig.sole_request(SERVER1, "INVITE")
@@ -126,7 +126,7 @@
     assert statuses(rig.take_sent(CALLER)) == [100, 200]
 
 
-def test_a_box_that_answers_after_the_time_out_is_released_and_the_caller_has_one_answer():
+def test_a_server_that_answers_after_the_timeout_is_released_and_the_caller_gets_one_answer():
     rig = Rig()
     rig.deliver(rig.invite(extra="Expires: 2\r\n"))
     invite = rig.sole_request(SERVER1, "INVITE")
@@ -156,7 +156,7 @@
     assert rig.leaked_resources() == {}
 
 
-def test_bye_of_the_box_before_the_callers_ack_waits_for_it():
+def test_bye_of_the_server_before_the_callers_ack_waits_for_it():
     rig = Rig()
     rig.deliver(rig.invite())
     invite = rig.sole_request(SERVER1, "INVITE")
@@ -183,7 +183,7 @@
     assert methods(rig.take_sent(SERVER1)) == ["CANCEL"]
 
 
-def test_clashing_branches_and_call_ids_are_calls_of_their_own():
+def test_a_reused_branch_or_call_id_starts_a_separate_call():
     rig = Rig()
     rig.deliver(rig.invite())
     rig.deliver(rig.invite(call="c2", tag="other"))  # the branch of another call
@@ -193,7 +193,7 @@
     assert 482 in statuses(rig.take_sent(CALLER)) and rig.border.open_calls() == 3
 
 
-def test_a_callers_time_runs_out_while_a_retry_waits():
+def test_a_caller_whose_deadline_passes_while_a_retry_waits_gets_one_answer():
     rig = Rig()
     rig.deliver(rig.invite(extra="Expires: 1\r\n"))
     invite = rig.sole_request(SERVER1, "INVITE")
@@ -207,7 +207,7 @@
     assert invite.method == "INVITE"
 
 
-def test_after_a_reset_the_release_is_awaited():
+def test_after_a_reset_the_retry_waits_for_the_release():
     rig = Rig()
     rig.deliver(rig.invite(number="+22133000123"))  # first choice: box2, on TCP
     invite = rig.sole_request(SERVER2, "INVITE")
@@ -219,7 +219,7 @@
     assert methods(rig.take_sent(SERVER1)) == ["INVITE"]
 
 
-def test_drain_told_with_a_retry_already_granted():
+def test_a_retry_already_granted_does_not_go_to_a_server_reported_as_draining():
     rig = Rig('book: {uri: "sip:book@127.0.0.1:7100"}')
     rig.deliver(rig.invite(number="+22133000123"))
     invite = rig.sole_request(SERVER2, "INVITE")
@@ -247,7 +247,7 @@
     return rig
 
 
-def test_timers_that_fall_due_after_the_process_stood_still():
+def test_timers_that_expire_during_a_stall_of_the_process():
     rig = Rig()
     rig.deliver(rig.invite(extra="Expires: 3\r\n"))
     rig.answer(rig.sole_request(SERVER1, "INVITE"), 100)
@@ -269,7 +269,7 @@
     assert rig.border.count["too large for a datagram"] == 1
 
 
-def test_a_box_that_dies_cuts_its_standing_calls():
+def test_a_server_that_dies_cuts_its_established_calls():
     rig = Rig()
     rig.deliver(rig.invite(number="+22133000123"))
     invite = rig.sole_request(SERVER2, "INVITE")
@@ -282,7 +282,7 @@
     assert "cause=41" in bye.get("reason")
 
 
-def test_a_caller_whose_connection_is_lost_before_the_answer_has_left():
+def test_a_caller_whose_connection_is_lost_before_the_answer_has_abandoned_the_call():
     rig = Rig()
     rig.deliver(rig.invite(hop=TCP), TCP)
     rig.answer(rig.sole_request(SERVER1, "INVITE"), 180)
@@ -290,7 +290,7 @@
     assert methods(rig.take_sent(SERVER1)) == ["CANCEL"] and rig.border.open_calls() == 0
 
 
-def test_a_standing_call_outlives_its_callers_connection():
+def test_an_established_call_outlives_its_callers_connection():
     rig = Rig()
     ok, _ = rig.establish_call(hop=TCP)
     rig.lost(TCP)
@@ -310,7 +310,7 @@
 
 
 @pytest.mark.parametrize(
-    "status, extra, seen",
+    "status, extra, expected_status",
     [
         (486, "", 486),
         (600, "", 600),
@@ -321,20 +321,20 @@
         (408, "", 180),
     ],
 )
-def test_refusals_of_the_box(status, extra, seen):
+def test_refusals_of_the_server(status, extra, expected_status):
     """A refusal about the number is final and passed on unchanged; after one about the server, the call is retried at
     the other server."""
     rig = Rig()
     rig.deliver(rig.invite())
     rig.answer(rig.sole_request(SERVER1, "INVITE"), status, extra=extra)
     rig.run(3_000_000)
-    if seen == 180:
+    if expected_status == 180:
         assert methods(rig.take_sent(SERVER2)) == ["INVITE"]
     else:
-        assert seen in statuses(rig.take_sent(CALLER)) and rig.take_sent(SERVER2) == []
+        assert expected_status in statuses(rig.take_sent(CALLER)) and rig.take_sent(SERVER2) == []
 
 
-def test_an_unreadable_answer_is_a_fault_of_the_box():
+def test_a_malformed_answer_counts_as_a_server_failure():
     rig = Rig()
     rig.deliver(rig.invite())
     invite = rig.sole_request(SERVER1, "INVITE")
@@ -383,14 +383,14 @@
         ("Proxy-Require: sec-agree\r\n", 420),
     ],
 )
-def test_extensions_that_cannot_pass(text, status):
+def test_unsupported_extensions_are_refused(text, status):
     rig = Rig()
     rig.deliver(rig.invite(extra=text))
     refused = rig.take_sent(CALLER)[-1]
     assert refused.status == status and refused.get("unsupported")
 
 
-def test_hops_scheme_contact_and_number():
+def test_invites_refused_for_hops_scheme_contact_or_number():
     rig = Rig()
     rig.deliver(rig.invite().replace("Max-Forwards: 70", "Max-Forwards: 0"))
     rig.deliver(rig.invite(branch="z9hG4bK2", call="2").replace("INVITE sip:", "INVITE mailto:"))
@@ -400,7 +400,7 @@
     assert rig.border.open_calls() == 0 and len(rig.border.module_host) == 0
 
 
-def test_refused_early_says_the_same_each_time_and_the_lag_passes():
+def test_an_early_refusal_is_repeated_unchanged_and_ends_with_the_event_loop_delay():
     rig = Rig()
     rig.border.record_loop_delay(rig.now, 400_000)
     rig.deliver(rig.invite())
@@ -415,7 +415,7 @@
     assert len(rig.border.layer.server_transactions) == 1
 
 
-def test_stopping_takes_no_calls_and_releases_the_rest():
+def test_a_stopping_proxy_takes_no_calls_and_releases_the_rest():
     rig = Rig()
     ok, _ = rig.establish_call()
     rig.border.stop(rig.now)
@@ -440,7 +440,7 @@
     assert 503 in statuses(rig.take_sent(CALLER)) and len(rig.border.layer) <= 3
 
 
-def test_a_reject_tells_when_to_come_back():
+def test_a_rejection_has_a_retry_after():
     rig = Rig()
     rig.deliver(rig.invite())
     for _ in range(3):  # the three permitted seizures, each refused by a full processor
@@ -459,7 +459,7 @@
     assert [f for _, e, f in rig.log_lines if e == "unreadable message"] and "1771234" not in repr(rig.log_lines)
 
 
-def test_rules_sort_calls_and_are_swapped_between_two():
+def test_rules_assign_call_types_and_are_replaced_between_two_calls():
     from thorndale.match.rules import load
 
     rig = Rig()
--- a/tests/call/test_chained.py
+++ b/tests/call/test_chained.py
@@ -22,7 +22,7 @@
     return rig.take_sent(CALLER), [r for r in rig.take_sent(SERVER2) if r.method == "INVITE"], rig
 
 
-def test_a_refusal_from_beyond_is_passed_back_at_once_and_holds_nothing_against_the_server():
+def test_a_downstream_refusal_is_passed_back_at_once_and_does_not_count_against_the_server():
     answers, retries, rig = refused_call(REFUSED_BEYOND)
     assert statuses(answers) == [100, 503] and not retries
     assert answers[-1].get("reason") == "Q.850;cause=42;location=BI"
@@ -35,25 +35,25 @@
     assert statuses(answers) == [100] and len(retries) == 1
 
 
-def test_a_fault_from_beyond_is_given_back_as_failed_with_its_place():
+def test_a_downstream_error_is_passed_back_as_failed_with_its_location():
     answers, retries, _ = refused_call("Reason: Q.850;cause=41;location=BI", 500)
     assert statuses(answers) == [100, 500] and not retries
     assert answers[-1].get("reason") == "Q.850;cause=41;location=BI"
 
 
 @pytest.mark.parametrize("extra", ["Reason: Q.850;cause=42;location=LN\r\nRetry-After: 1", REFUSED_BY_SERVER])
-def test_other_places_are_the_servers_own(extra):
+def test_a_refusal_with_another_location_or_none_is_the_servers_own(extra):
     assert len(refused_call(extra)[1]) == 1
 
 
 @pytest.mark.parametrize(
     "bad", ["Q.850;location=BI", "Q.850;cause=x;location=BI", "Q.850;cause=42;location=" + "B" * 200]
 )
-def test_marks_that_cannot_be_read_are_passed_over(bad):
+def test_a_malformed_reason_header_is_ignored(bad):
     assert len(refused_call(f"Reason: {bad}\r\nRetry-After: 1")[1]) == 1
 
 
-def test_without_the_setting_marks_are_neither_heeded_nor_written():
+def test_without_the_setting_the_location_and_a_181_are_ignored():
     answers, retries, _ = refused_call(REFUSED_BEYOND, settings="instances: 1")
     assert statuses(answers) == [100] and len(retries) == 1
     rig = Rig("instances: 1")
@@ -64,7 +64,7 @@
 
 
 def watch_onward(rig):
-    """Records the Onward events, of calls that a server forwarded, which the module receives."""
+    """Records the Forwarded events that the module receives."""
     onward, handle = [], rig.border.module_host.module.handle
 
     def recording_handle(now, events):
@@ -75,7 +75,7 @@
     return onward
 
 
-def test_a_call_carried_on_is_told_once_and_its_later_time_is_not_the_servers():
+def test_a_forwarded_call_is_reported_once_and_its_later_delay_does_not_count_against_the_server():
     rig = Rig(CHAINED)
     onward, module = watch_onward(rig), rig.border.module_host.module
     rig.deliver(rig.invite())
@@ -91,7 +91,7 @@
     assert module.skip_until[0] == 0
 
 
-def test_a_late_181_of_a_seizure_given_up_tells_nothing():
+def test_a_181_of_a_cancelled_seizure_is_ignored():
     rig = Rig(CHAINED)
     onward = watch_onward(rig)
     rig.deliver(rig.invite())
--- a/tests/call/test_held.py
+++ b/tests/call/test_held.py
@@ -60,7 +60,7 @@
     return [x.status for x in rig.take_sent(CALLER) if x.status >= 200 and x.cseq[1] == "INVITE"]
 
 
-def test_the_200_goes_behind_its_record():
+def test_the_200_is_sent_after_its_record_is_written():
     rig = ledger_rig()
     answered_by_server(rig)
     assert final_statuses(rig) == []
@@ -69,7 +69,7 @@
     assert [r.answered for r in decoded_records(rig, f.BEGUN)] == ["doubt"]
 
 
-def test_the_refusal_goes_behind_its_record_and_a_cancel_meanwhile_changes_nothing():
+def test_the_refusal_is_sent_after_its_record_is_written_and_a_cancel_meanwhile_changes_nothing():
     rig = ledger_rig()
     rig.deliver(rig.invite())
     rig.settle()
@@ -85,7 +85,7 @@
     ]
 
 
-def test_a_bye_of_the_box_meanwhile_reaches_the_caller_after_its_200_and_its_ack():
+def test_a_bye_of_the_server_meanwhile_reaches_the_caller_after_its_200_and_its_ack():
     rig = ledger_rig()
     invite = answered_by_server(rig)
     ack = next(x for x in rig.take_sent(SERVER1) if x.method == "ACK")
@@ -109,7 +109,7 @@
     assert [(r.how, r.by) for r in decoded_records(rig, f.ENDED)] == [("released", "server")]
 
 
-def test_an_answer_is_not_held_longer_than_its_bound():
+def test_an_answer_waits_for_its_record_no_longer_than_the_limit():
     rig = ledger_rig()
     answered_by_server(rig)
     rig.run(250_000)
@@ -117,7 +117,7 @@
     assert rig.border.ledger.count["answered ahead"] == 1
 
 
-def test_a_caller_that_leaves_has_its_487_behind_its_record():
+def test_the_487_of_a_caller_that_hangs_up_is_sent_after_its_record_is_written():
     rig = ledger_rig()
     rig.deliver(rig.invite())
     rig.settle()
@@ -131,7 +131,7 @@
     assert [(r.how, r.by, r.status) for r in decoded_records(rig, f.WHOLE)] == [("left", "caller", 487)]
 
 
-def test_a_disk_that_fails_has_new_calls_refused_and_those_under_way_answered():
+def test_on_a_disk_failure_new_calls_are_refused_and_pending_ones_answered():
     rig = ledger_rig()
     answered_by_server(rig)
     rig.border.flush(rig.now)
@@ -146,7 +146,7 @@
     assert not rig.border.ledger.refusing(rig.now)
 
 
-def test_an_invite_that_becomes_no_call_has_its_record_too():
+def test_an_invite_that_is_refused_before_a_call_is_created_has_a_record():
     rig = ledger_rig()
     rig.deliver(rig.invite(number="+33100000"))
     rig.deliver(rig.invite(branch="z9hG4bKc3", call="c3", tag="ct3", extra="Require: 100rel\r\n"))
@@ -160,7 +160,7 @@
     assert not rig.border.owners
 
 
-def test_the_four_ways_differ_in_what_an_answer_waits_for():
+def test_the_answer_modes_after_and_intent_differ_in_what_a_200_waits_for():
     for answer_mode, expected in (("after", [200]), ("intent", [])):
         rig = ledger_rig(answer_mode)
         rig.deliver(rig.invite())
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -1,4 +1,4 @@
-"""Settings: every fault by its path, all at once; the command line's exit codes."""
+"""Settings: every invalid value is reported by its path, all at once; the command line's exit codes."""
 
 import glob
 import os
@@ -121,7 +121,7 @@
     assert any(f.startswith(path) for f in faults(text.replace(old, new, 1))), faults(text.replace(old, new, 1))
 
 
-def test_files_that_are_none(tmp_path):
+def test_malformed_and_missing_files_are_refused(tmp_path):
     for name, data in (("cut", GOOD[:300].encode()), ("latin", b"{name: '\xe9'}"), ("empty", b"")):
         (tmp_path / name).write_bytes(data)
         with pytest.raises(ConfigError):
--- a/thorndale/adapter/codec.py
+++ b/thorndale/adapter/codec.py
@@ -63,10 +63,10 @@
         if name == "DEMAND":
             tid = field.required(fields, "tid", field.integer)
             if tid in self.call_indices:
-                raise field.InputError(f"call {tid} was offered before")
+                raise field.InputError(f"call {tid} was given before")
             call_type = field.required(fields, "priority", field.integer)
             if not 0 <= call_type < self.type_count:
-                raise field.InputError(f"call type {call_type} is not in the settings")
+                raise field.InputError(f"class {call_type} is not in the settings")
             if self.free_indices:
                 index = self.free_indices.pop()
                 self.call_ids[index], self.outstanding[index], self.call_over[index] = tid, 0, False
@@ -128,7 +128,7 @@
                 raise field.InputError(f"unknown form of list {form[:40]!r}")
             ref = field.required(fields, "ref", field.integer)
             if ref not in lists:
-                raise field.InputError(f"list {ref} is not defined")
+                raise field.InputError(f"list {ref} was never defined")
             entries = tuple(
                 io.Server(self.server_index(s), pool, state, started) for s, pool, state, started in lists[ref]
             )
--- a/thorndale/adapter/host.py
+++ b/thorndale/adapter/host.py
@@ -32,7 +32,7 @@
                     continue
                 if name == "ITEM":
                     if open_list is None or len(self.lists[open_list[0]]) >= open_list[1]:
-                        raise field.InputError("ITEM outside a list")
+                        raise field.InputError("an ITEM outside a list")
                     self.lists[open_list[0]].append(list_entry(fields))
                     continue
                 if open_list is not None and len(self.lists[open_list[0]]) != open_list[1]:
@@ -105,7 +105,7 @@
         message = (
             str(error)
             if isinstance(error, field.InputError)
-            else f"error near line {line_number}: {type(error).__name__}: {error}"
+            else f"fault near line {line_number}: {type(error).__name__}: {error}"
         )
         print(f"thorndale.adapter: {message}", file=errors)
         if proxy_id is not None and proxy_id.isdigit():
--- a/thorndale/fields.py
+++ b/thorndale/fields.py
@@ -10,7 +10,7 @@
 
 def required(fields, key, parse):
     if key not in fields:
-        raise InputError(f"required field '{key}' is missing")
+        raise InputError(f"needed field '{key}' is missing")
     return parse(key, fields[key])
 
 
@@ -22,7 +22,7 @@
     try:
         value = int(text)
     except ValueError:
-        raise InputError(f"'{key}' is not an integer: {text[:40]!r}") from None
+        raise InputError(f"'{key}' is no whole number: {text[:40]!r}") from None
     return value
 
 
@@ -52,7 +52,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise InputError(f"'{key}' is not a hexadecimal number: {text[:40]!r}") from None
+        raise InputError(f"'{key}' is no hex number: {text[:40]!r}") from None
 
 
 def string(key, text):
@@ -63,7 +63,7 @@
     try:
         return b"" if text == "-" else base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
-        raise InputError(f"'{key}' is not base64: {text[:40]!r}") from None
+        raise InputError(f"'{key}' is no base64: {text[:40]!r}") from None
 
 
 def number_pairs(key, text):
--- a/thorndale/fleet/exchange.py
+++ b/thorndale/fleet/exchange.py
@@ -65,9 +65,8 @@
         """Called after the module received those events. A set-up that raised the server's odds is a loss; any other
         may be an answer."""
         for event, score in odds_before:
-            if (
-                type(event) is io.SeizureEnded and event.outcome == io.FAULTY
-            ):  # an answer, and as often caused by the caller
+            # A faulty outcome is an answer, and as often caused by the caller.
+            if type(event) is io.SeizureEnded and event.outcome == io.FAULTY:
                 continue
             answered = type(event) is io.Answered or event.outcome in ANSWER_OUTCOMES
             lost = module.failure_log_odds[event.server] > score
--- a/thorndale/policy.py
+++ b/thorndale/policy.py
@@ -33,9 +33,8 @@
 DELAY_SPAN_FRACTION = 0.3  # of the setup target: excess at which no call is admitted; narrower, load oscillates
 DELAY_DECAY_RATE = 0.2  # us by which a reported delay shrinks per us: an idle processor sheds 1, but others still send
 FRACTION_GAIN_PER_S = 0.5  # gain of the admitted fraction per second; faster, it outruns the delays that it reacts to
-REDIAL_REFUSAL_TARGETS = (
-    5.0  # setup targets for which redials are refused after a first attempt was: a few redial intervals
-)
+# Setup targets for which redials are refused after a first attempt was: a few redial intervals.
+REDIAL_REFUSAL_TARGETS = 5.0
 REPORT_AGE_US = 500_000  # age of a load report on arrival: half its period and its transit time
 CALL_MEAN_WEIGHT = 0.02  # weight of a call in the mean revenue and length: some 50 calls, a few seconds of one proxy
 FAILED_LOSS_PROBABILITY, SOUND_LOSS_PROBABILITY = 0.9, 0.02  # chance of a lost seizure; far apart
@@ -166,11 +165,8 @@
         self.stalled = False  # this proxy stalled, so the times in this batch contain its own delay
         for name in SERVER_DEFAULTS:
             setattr(self, name, [])
-        self.first_setups, self.retries, self.in_flight = (
-            [],
-            [],
-            [],
-        )  # per slot; in_flight: {call: when sent}, oldest first
+        # Per server: set-ups and retries per slot; in_flight: {call: when sent}, oldest first.
+        self.first_setups, self.retries, self.in_flight = [], [], []
         self.by_pool, self.pool_inflow = {}, {}  # servers; set-ups a second from all proxies while warm
         self.busy_fraction, self.quota_credit_at = {}, 0  # by pool: fraction of samples that found a busy server
         self.mean_hold_us = max(settings["type_hold_us"], default=SLOTS * SLOT_US)  # mean length of a call
--- a/thorndale/settings.py
+++ b/thorndale/settings.py
@@ -38,13 +38,13 @@
         return "true" if value else "false"
     if isinstance(value, int | float | str):
         return str(value)
-    raise field.InputError(f"'{path}' is neither a scalar, a list nor an object")
+    raise field.InputError(f"'{path}' is no plain value")
 
 
 def _in_range(info, path, parse, minimum, maximum):
     value = field.required(info, path, parse)
     if not minimum <= value <= maximum:
-        raise field.InputError(f"'{path}' is {value}, which is outside {minimum} to {maximum}")
+        raise field.InputError(f"'{path}' is {value}, which is not within {minimum} to {maximum}")
     return value
 
 
--- a/thorndale/sip/dialog.py
+++ b/thorndale/sip/dialog.py
@@ -20,10 +20,10 @@
     uri = parse_uri(uri_text)
     transport = uri.params.get("transport", "udp").lower()
     if transport not in DEFAULT_PORTS or uri.scheme != "sip":
-        raise SipError(f"transport {transport[:10]!r} is not supported", "URI")
+        raise SipError(f"transport {transport[:10]!r} is not served", "URI")
     host = uri.params.get("maddr") or uri.host
     if not (":" in host or host.replace(".", "").isdigit()):
-        raise SipError(f"{host[:40]!r} is not an IP address", "URI")
+        raise SipError(f"{host[:40]!r} is no address", "URI")
     return Hop(transport, host, uri.port or DEFAULT_PORTS[transport], 0)
 
 
--- a/thorndale/sip/framing.py
+++ b/thorndale/sip/framing.py
@@ -79,9 +79,9 @@
         if colon and name.strip().lower() in _LENGTH_NAMES:
             value = value.strip()
             if not value.isdigit() or len(value) > 9:
-                raise SipError("not a non-negative integer", "Content-Length")
+                raise SipError("no whole number", "Content-Length")
             if length >= 0 and length != int(value):
-                raise SipError("two different values", "Content-Length")
+                raise SipError("two that differ", "Content-Length")
             length = int(value)
     if length > MAX_BODY_BYTES:
         raise SipError(f"more than {MAX_BODY_BYTES} bytes", "Content-Length", 513)
--- a/thorndale/sip/headers.py
+++ b/thorndale/sip/headers.py
@@ -43,7 +43,7 @@
             start = at + 1
         at += 1
     if quoted:
-        raise SipError("unterminated quoted string")
+        raise SipError("a quoted string has no end")
     items.append(value[start:].strip())
     return [i for i in items if i]
 
@@ -110,15 +110,15 @@
         while at < len(value) and value[at] != '"':
             at += 2 if value[at] == "\\" else 1
         if at >= len(value):
-            raise SipError("unterminated quoted display name", where)
+            raise SipError("a quoted display name has no end", where)
         at += 1
     opening = value.find("<", at)
     if opening < 0:
         if at:
-            raise SipError("a display name requires <...> around the URI", where)
+            raise SipError("a display name stands without <...>", where)
         uri, semicolon, rest = value.partition(";")
         if "," in uri or "?" in uri:
-            raise SipError("a URI with ',' or '?' must be enclosed in <...>", where)
+            raise SipError("a URI with ',' or '?' must stand in <...>", where)
         uri = uri.strip()
         if not uri or " " in uri:
             raise SipError("no URI", where)
@@ -130,7 +130,7 @@
     if rest and rest[0] != ";":
         raise SipError("text after '>'", where)
     if not display.startswith('"') and display and not all(is_token(w) for w in display.split()):
-        raise SipError("the display name must be quoted", where)
+        raise SipError("the display name needs quotes", where)
     uri = value[opening + 1 : closing]
     if not uri or uri != uri.strip() or " " in uri:
         raise SipError("the URI holds spaces or nothing", where)
@@ -163,7 +163,7 @@
     if not rest:
         return host, 0
     if not port.isascii() or not port.isdigit() or not 0 < int(port[:6]) < 65536:
-        raise SipError("invalid port number", where)
+        raise SipError("no port number", where)
     return host, int(port)
 
 
@@ -199,7 +199,7 @@
     """Parses an integer from 0 to `maximum`. Raises SipError."""
     value = value.strip()
     if not value.isascii() or not value.isdigit() or len(value) > 20 or int(value) > maximum:
-        raise SipError(f"not an integer from 0 to {maximum}", where)
+        raise SipError(f"no whole number up to {maximum}", where)
     return int(value)
 
 
--- a/thorndale/sip/message.py
+++ b/thorndale/sip/message.py
@@ -97,7 +97,7 @@
     if key is None:
         key = name.rstrip(" \t").lower()
         if not h.is_token(key):
-            raise SipError(f"invalid header name: {name[:30]!r}", "header")
+            raise SipError(f"no header name: {name[:30]!r}", "header")
         key = COMPACT_FORMS.get(key, key)
         if len(_HEADER_KEYS) < _MAX_HEADER_KEYS:
             _HEADER_KEYS[name] = key
@@ -264,10 +264,10 @@
     if content_length:
         length = h.parse_count(content_length, "Content-Length", MAX_BODY_BYTES)
         if length > len(body):
-            raise SipError(f"{length} bytes declared, {len(body)} received", "Content-Length")
+            raise SipError(f"{length} bytes said, {len(body)} there", "Content-Length")
         return body[:length]
     if stream and body:
-        raise SipError("required on a stream", "Content-Length")
+        raise SipError("needed on a stream", "Content-Length")
     return body
 
 
@@ -277,7 +277,7 @@
         version, _, rest = line.partition(" ")
         status, _, reason = rest.partition(" ")
         if version != VERSION or len(status) != 3 or not (status.isascii() and status.isdigit()):
-            raise SipError(f"invalid status line: {line[:40]!r}", "start line")
+            raise SipError(f"no status line: {line[:40]!r}", "start line")
         if not 100 <= int(status) <= 699:
             raise SipError(f"status {status}", "start line")
         if "\n" in reason or "\r" in reason:
@@ -285,7 +285,7 @@
         return Message(status=int(status), reason=reason), None
     parts = line.split(" ")
     if len(parts) != 3 or not h.is_token(parts[0]) or not parts[1]:
-        raise SipError(f"not 'METHOD URI VERSION': {line[:40]!r}", "start line")
+        raise SipError(f"no 'METHOD URI VERSION': {line[:40]!r}", "start line")
     version, error = parts[2], None
     if version.upper() != VERSION:
         other_version = version.upper().startswith("SIP/")
@@ -303,12 +303,12 @@
     present = set()
     for key, _, _ in message.fields:
         if key in SINGLE_HEADERS and key in present:
-            raise SipError("occurs more than once", key)
+            raise SipError("stands more than once", key)
         present.add(key)
     if not present.issuperset(REQUIRED_HEADERS):
         raise SipError("is missing", sorted(REQUIRED_HEADERS - present)[0])
     if not message.call_id or " " in message.call_id:
-        raise SipError("is empty or contains a space", "Call-ID")
+        raise SipError("is no word", "Call-ID")
     number, method = message.cseq
     if message.method and method != message.method:
         raise SipError(f"{method[:20]} in a {message.method[:20]}", "CSeq")
--- a/thorndale/sip/transaction.py
+++ b/thorndale/sip/transaction.py
@@ -391,7 +391,7 @@
         invite = message.method == "INVITE"
         branch = message.via.params.get("branch", "")
         if not branch.startswith(BRANCH_COOKIE) or (branch, message.method) in self.client_transactions:
-            raise SipError("the branch is already in use or lacks the cookie", "Via")
+            raise SipError("the branch is not new", "Via")
         tx = Transaction(
             self,
             INVITE_CLIENT if invite else CLIENT,
--- a/thorndale/sip/uri.py
+++ b/thorndale/sip/uri.py
@@ -73,15 +73,15 @@
             raise SipError("no number", "URI")
         return Uri("tel", number, "", "", 0, parse_params(params), {}, "")
     if scheme not in ("sip", "sips"):
-        raise SipError(f"scheme {scheme[:20]!r} is not supported", "URI", 416)
+        raise SipError(f"scheme {scheme[:20]!r} is not served", "URI", 416)
     if not FORBIDDEN_CHARS.isdisjoint(rest):
-        raise SipError("contains a space, a quote or an angle bracket", "URI")
+        raise SipError("a space, quote or bracket inside", "URI")
     user = password = ""
     user_params = {}
     userinfo, at_sign, after_user = rest.rpartition("@") if "@" in rest.partition("?")[0] else ("", "", rest)
     if at_sign:
         if "@" in userinfo:
-            raise SipError("more than one '@'", "URI")
+            raise SipError("two '@'", "URI")
         raw_user, _, password = userinfo.partition(":")
         raw_user, semicolon, raw_params = raw_user.partition(";")
         user = unescape(raw_user)
--- a/thorndale/spread/gather.py
+++ b/thorndale/spread/gather.py
@@ -51,9 +51,9 @@
             else:
                 entries.append(entry)
     if not events:
-        raise LogError("is not a proxy's log: it has no line of JSON with an event")
+        raise LogError("is no log of a proxy: no line of JSON with an event")
     if not entries:
-        raise LogError("has no set-ups; the proxy sent none, or its log level is above info")
+        raise LogError("has no line on set-ups; its proxy set nothing up, or logs less than info")
     return entries, unreadable
 
 
