--- a/bench/even.py
+++ b/bench/even.py
@@ -72,8 +72,8 @@
     rows = [rows_of[b.name][: int(day.seconds)] for b in day.boxes]
     pools = pools_of(day)
     found = measure.balance([r[from_s:] for r in rows], pools, parts)
-    waits = sorted(w for own in player.waits.values() for w in own)
-    lags = sorted(player.lag)
+    queueing_delays_us = sorted(w for own in player.queueing_delays_us.values() for w in own)
+    lags = sorted(player.setup_times_us)
     total = {}
     for (_, key), n in player.count.items():
         total[key] = total.get(key, 0) + n
@@ -93,8 +93,8 @@
         "most": round(found.most, 3),
         "idle": len(found.idle),
         "peak": round(found.peak, 3),
-        "wait_p50_ms": at(waits, 0.5),
-        "wait_p99_ms": at(waits, 0.99),
+        "wait_p50_ms": at(queueing_delays_us, 0.5),
+        "wait_p99_ms": at(queueing_delays_us, 0.99),
         "setup_p50_ms": at(lags, 0.5),
         "setup_p99_ms": at(lags, 0.99),
         "breaks": rules,
--- a/bench/kills.py
+++ b/bench/kills.py
@@ -21,7 +21,7 @@
 from thorndale.records.read import lines, source
 from thorndale.records.tariff import load
 from thorndale.sip import message as m
-from thorndale.standins.day import Player, draw
+from thorndale.standins.day import Player, seeded_random
 from thorndale.standins.script import read_day
 
 TARIFFS = """{currency: "XOF", from_date: "2020-01-01", until_date: "2099-01-01", call_types: ["timetable", "leaving-soon"],
@@ -53,7 +53,7 @@
 
 
 def day(kills, proxies, rate, seed, way):
-    chance, faults, at = draw(seed), [], [1.0 + n * GAP_S / proxies for n in range(proxies)]
+    chance, faults, at = seeded_random(seed), [], [1.0 + n * GAP_S / proxies for n in range(proxies)]
     for n in range(kills):
         who = n % proxies
         faults.append(
--- a/bench/scale/chain_days.py
+++ b/bench/scale/chain_days.py
@@ -18,13 +18,13 @@
 from bench.scale import limits, report
 from thorndale.standins.day import Player, leaks
 from thorndale.standins.links import LinkPlan
-from thorndale.standins.script import BoxPlan, Day, Fault, TypePlan
+from thorndale.standins.script import CallTypePlan, CentralServerPlan, Day, Fault
 
 SECONDS, FAULT_FROM_S, LINKS_FROM_S, LINKS_S = 14.0, 2.0, 3.0, 8.0
 SETUP_MS, WORK_PER_SETUP = 60.0, 1.25  # ms of a server's work on a set-up; with its answer and release, so much more
 LOAD = 0.6  # of the capacity of one hop
 LOST, LATE_MS = 0.1, 30
-TYPE = TypePlan("t", "+2", 1.0, 1200, 9000, 8, 1000)
+TYPE = CallTypePlan("t", "+2", 1.0, 1200, 9000, 8, 1000)
 CASES = ("sound", "failing", "links", "lost progress")
 PROXY_MB = 45
 
@@ -47,7 +47,7 @@
 
 
 def day_of(hops, width, case, chained, seed):
-    boxes = [BoxPlan(f"box{n}", "g", "udp", SETUP_MS) for n in range(hops * width)]
+    boxes = [CentralServerPlan(f"box{n}", "g", "udp", SETUP_MS) for n in range(hops * width)]
     rate = LOAD * width * 1000 / (SETUP_MS * WORK_PER_SETUP)
     day = Day(
         SECONDS,
@@ -78,9 +78,9 @@
     count = {what: n for (_, what), n in player.count.items()}
     offered = max(1, count.get("offered", 0))
     setups = [sum(sum(player.setups[box].values()) for box in names("box", hop + 1, width)) for hop in range(hops)]
-    lag = sorted(player.lag) or [0]
-    stills = player.auditor.stills
-    still_us = sum(ended - began for began, ended in stills[min(stills)]) if stills else 0
+    setup_times_us = sorted(player.setup_times_us) or [0]
+    loop_stalls = player.auditor.loop_stalls
+    still_us = sum(ended - began for began, ended in loop_stalls[min(loop_stalls)]) if loop_stalls else 0
     return {
         "case": case,
         "marked": chained,
@@ -90,8 +90,8 @@
         "offered": offered,
         "stood": round(count.get("stood", 0) / offered, 4),
         "setups_per_call": [round(n / offered, 3) for n in setups],
-        "p50_ms": lag[len(lag) // 2] / 1000,
-        "p99_ms": lag[int(0.99 * len(lag))] / 1000,
+        "p50_ms": setup_times_us[len(setup_times_us) // 2] / 1000,
+        "p99_ms": setup_times_us[int(0.99 * len(setup_times_us))] / 1000,
         "breaks": len(breaks),
         "break_texts": [text for _, _, text in breaks[:3]],
         "left": len(leaks(player)),
--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -17,12 +17,12 @@
 from bench import calls
 from bench.scale import limits, report, target
 from thorndale.standins.day import Player, leaks
-from thorndale.standins.script import BoxPlan, Day, Fault, TypePlan
+from thorndale.standins.script import CallTypePlan, CentralServerPlan, Day, Fault
 
 SERVERS, PROXIES = (37, 74, 148, 296), (8, 16, 32, 64)
 SECONDS, LOOKED_AT_S = 14.0, 12.0
 PROXY_MB = 45
-TYPE = TypePlan("t", "+2", 1.0, 1200, 9000, 3, 1000)
+TYPE = CallTypePlan("t", "+2", 1.0, 1200, 9000, 3, 1000)
 
 
 class Watched(Player):
@@ -41,7 +41,7 @@
 
 
 def play(servers, proxies, rate):
-    boxes = [BoxPlan(f"box{n}", f"g{n // target.SERVICE_SERVERS}", "tcp", 4.0) for n in range(servers)]
+    boxes = [CentralServerPlan(f"box{n}", f"g{n // target.SERVICE_SERVERS}", "tcp", 4.0) for n in range(servers)]
     day = Day(SECONDS, rate, boxes, [TYPE], proxies, tcp_part=0.0, redials=0, t1_ms=100)
     day.faults = [Fault(0.0, "burst", [], SECONDS)]  # the moment at which `Watched` looks, and no burst
     player = Watched(day)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -202,7 +202,7 @@
         unread.task.cancel()
         for n in range(3000):
             unread.writer.write(isup.encode(isup.TEST, call_id(n), (isup.CAUSE, b"\0")))
-        p.servers[0].spoil = lambda call: (
+        p.servers[0].corrupt_answer = lambda call: (
             (b"SIP/2.0 200 OK\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 70_000)
             if call == call_id(0).hex()
             else None
--- a/tests/node/test_owed_at_ends.py
+++ b/tests/node/test_owed_at_ends.py
@@ -9,8 +9,8 @@
 from test_node import SETTINGS, call_id, is_released, run_on_platform
 
 from thorndale.platform import isup
+from thorndale.standins.loop_stalls import LoopStallMonitor
 from thorndale.standins.platform import setup_message, until
-from thorndale.standins.pulse import Pulse
 
 KILL_MARGIN_S = 0.7  # SIGKILL comes no earlier after SIGTERM than the longest deadline and this margin
 CROSSING_S = 0.05  # time in which a set-up may cross the end of its connection; it is sent again then
@@ -136,7 +136,7 @@
 
     def __init__(self):
         self.spans = []
-        self.pulse = Pulse(asyncio.get_running_loop(), ["callers"], self._record)
+        self.pulse = LoopStallMonitor(asyncio.get_running_loop(), ["callers"], self._record)
 
     def _record(self, ended_us, _place, _kind, began_us):
         self.spans.append((int(began_us) / 1e6, ended_us / 1e6))
--- a/tests/records/test_model.py
+++ b/tests/records/test_model.py
@@ -14,7 +14,7 @@
 
 from thorndale.records import folder as fo
 from thorndale.records.chain import ChainCheck, links
-from thorndale.standins.day import draw
+from thorndale.standins.day import seeded_random
 
 STEPS = {"all": 0}
 
@@ -28,7 +28,7 @@
             Disk(),
             way,
             LIMITS._replace(segment_bytes=size),
-            draw(seed),
+            seeded_random(seed),
         )
         self.boot, self.serial, self.promised, self.begun, self.established, self.kills = 0, 0, set(), set(), [], 0
         self.recorder = None
--- a/tests/records/test_store.py
+++ b/tests/records/test_store.py
@@ -10,7 +10,7 @@
 from thorndale.records import folder as fo
 from thorndale.records.chain import verify as verify_chain
 from thorndale.records.frame_replay import STOPPED
-from thorndale.standins.day import draw
+from thorndale.standins.day import seeded_random
 
 
 def verify(disk):
@@ -78,7 +78,7 @@
 def test_power_lost_at_every_operation_loses_nothing_synced(answer_order):
     total = Disk()
     small_run(total, answer_order=answer_order).work()
-    random_draw = draw(7)
+    random_draw = seeded_random(7)
     for n in range(total.ops + 1):
         disk, created_recorders = Disk(), []
         disk.kill_at = n
--- a/tests/standins/test_audit.py
+++ b/tests/standins/test_audit.py
@@ -12,8 +12,8 @@
 
 from thorndale.standins.audit import RULES, Auditor
 from thorndale.standins.day import exit_code, leaks, play
+from thorndale.standins.loop_stalls import LoopStallMonitor
 from thorndale.standins.processor import Processor, Work
-from thorndale.standins.pulse import Pulse
 from thorndale.standins.script import Fault, read_file
 
 BROKEN = os.path.join(os.path.dirname(__file__), "broken.py")
@@ -262,7 +262,7 @@
 def test_a_loop_that_stands_still_is_measured():
     async def scene():
         seen = []
-        pulse = Pulse(asyncio.get_running_loop(), ["caller"], lambda *line: seen.append(line))
+        pulse = LoopStallMonitor(asyncio.get_running_loop(), ["caller"], lambda *line: seen.append(line))
         await asyncio.sleep(0.03)
         quiet, began = len(seen), time.monotonic()
         time.sleep(0.12)
--- a/tests/standins/test_spread.py
+++ b/tests/standins/test_spread.py
@@ -10,10 +10,10 @@
 
 from thorndale.config.load import ConfigError
 from thorndale.spread import measure
-from thorndale.standins.apart import missing_resources
 from thorndale.standins.day import DayError, Player, leaks
 from thorndale.standins.links import LinkPlan
 from thorndale.standins.script import Fault, read_day
+from thorndale.standins.workers import missing_resources
 
 AT = 3.0  # second of the event
 SOME, ALL = ["proxy1", "proxy2"], [f"proxy{n}" for n in range(1, 7)]
--- a/thorndale/cli/tables.py
+++ b/thorndale/cli/tables.py
@@ -48,7 +48,7 @@
     if seconds:
         console.print(_table("By second", "second", sorted(player.per_second.items()), COLUMNS))
     console.print(_table("By call type", "call type", rows, COLUMNS))
-    lags = sorted(player.lag)
+    lags = sorted(player.setup_times_us)
     if lags:
         at = [lags[min(len(lags) - 1, int(len(lags) * p))] / 1000 for p in (0.5, 0.99)]
         console.print(f"set-up time: median {at[0]:.1f} ms, 99% {at[1]:.1f} ms")
--- a/thorndale/standins/audit.py
+++ b/thorndale/standins/audit.py
@@ -58,7 +58,7 @@
         self.cold_since, self.arrivals = {}, {}  # {server: time of its cold start}, {server: times of INVITEs since}
         self.messages = self.excused = 0  # excused: unanswered calls that a killed proxy owned or never received
         self.last_attempt = {}  # {token: its latest Attempt}
-        self.stills = {}  # {endpoint of a caller: ordered (began, ended) of the stalls of its event loop}
+        self.loop_stalls = {}  # {endpoint of a caller: ordered (began, ended) of the stalls of its event loop}
         self.budget = {name: ([], []) for name in servers}  # {server: (arrival times of first set-ups, of retries)}
         self.seized_calls = set()  # (proxy, token) once a proxy has seized a server; the next seizure is a redial's
 
@@ -251,14 +251,14 @@
     def _loop_stalled(self, endpoint, began, ended):
         """Adds a stall. Stalls without a pause between them are merged: sockets are read in bounded batches, so a
         message may wait in its socket through several of them."""
-        stalls = self.stills.setdefault(endpoint, [])
+        stalls = self.loop_stalls.setdefault(endpoint, [])
         if stalls and stalls[-1][1] == began:
             began = stalls.pop()[0]
         stalls.append((began, ended))
 
     def _max_unread_us(self, endpoint, at):
         """How long, in us, a message read at `at` may have waited in the caller's socket because of a stall."""
-        stalls = self.stills.get(endpoint, ())
+        stalls = self.loop_stalls.get(endpoint, ())
         index = bisect.bisect_left(stalls, at, key=lambda stall: stall[1])
         return max(0, at - stalls[index][0]) if index < len(stalls) else 0
 
--- a/thorndale/standins/day.py
+++ b/thorndale/standins/day.py
@@ -16,15 +16,15 @@
 import uvloop
 
 from thorndale.net.clock import now_us
-from thorndale.standins.apart import WorkerStandIns, missing_resources
 from thorndale.standins.audit import RULES, Auditor
+from thorndale.standins.groups import LIMITS, ForwardingPlan, LocalStandIns, times_of, work_of
 from thorndale.standins.logs import read_events
-from thorndale.standins.parts import LIMITS, ForwardingPlan, LocalStandIns, times_of, work_of
 from thorndale.standins.poolbook import PoolBook
 from thorndale.standins.ports import reserve_port
 from thorndale.standins.relay import MAX_RELAYED_PROXIES, Relay, loopback_address
 from thorndale.standins.script import hop_of, rules_of, servers_of, settings_of
-from thorndale.standins.traffic import draw
+from thorndale.standins.traffic import seeded_random
+from thorndale.standins.workers import WorkerStandIns, missing_resources
 
 START_TIMEOUT_S = 15
 START_TIMEOUT_PER_PROXY_S = 0.2  # added for each proxy, because all start on the same cores
@@ -43,10 +43,13 @@
         self.day, self.calls = day, calls
         self.command = command or [sys.executable, "-m", "thorndale", "run"]
         self.folder = folder
-        self.random = draw(day.seed)
-        self.count, self.per_second, self.lag = Counter(), {}, []
+        self.random = seeded_random(day.seed)
+        self.count, self.per_second, self.setup_times_us = Counter(), {}, []
         self.connections = {}  # by TCP server: (most open at one time, opened in total)
-        self.setups, self.waits = {}, {}  # by server: set-ups per clock second; queueing delay of each in us
+        self.setups, self.queueing_delays_us = (
+            {},
+            {},
+        )  # by server: set-ups per clock second; queueing delay of each in us
         self.processes, self.files, self.last_events, self.seconds = {}, {}, {}, 0.0
         self.killed = set()  # process ids of proxies that a fault has killed
         self.kills = Counter()  # how often, by proxy
@@ -206,13 +209,23 @@
 
     async def _collect_figures(self):
         """Adds up the figures of all stand-in processes."""
-        for count, per_second, lag, setups, waits, wrong, editions, _, conns in await self.standins.figures():
+        for (
+            count,
+            per_second,
+            setup_times_us,
+            setups,
+            queueing_delays_us,
+            wrong,
+            editions,
+            _,
+            conns,
+        ) in await self.standins.figures():
             self.count.update(count)
             for second, row in per_second.items():
                 self.per_second.setdefault(second, Counter()).update(row)
-            self.lag += lag
+            self.setup_times_us += setup_times_us
             self.setups |= setups
-            self.waits |= waits
+            self.queueing_delays_us |= queueing_delays_us
             self.connections |= conns
             self.wrong_type += wrong
             self.editions.update(editions)
--- a/thorndale/standins/onward.py
+++ b/thorndale/standins/forwarding.py
@@ -10,7 +10,7 @@
 from thorndale.sip.message import Message
 from thorndale.sip.transaction import Hop
 from thorndale.standins.agent import Agent
-from thorndale.standins.box import ServerCall, SetupServer
+from thorndale.standins.server import ServerCall, SetupServer
 
 CALL_FORWARDED_STATUS = 181
 COPIED_HEADERS = ("Reason", "Retry-After")  # headers of a refusal that are returned unchanged
--- a/thorndale/standins/parts.py
+++ b/thorndale/standins/groups.py
@@ -6,12 +6,12 @@
 from thorndale.config.settings import Limits
 from thorndale.net.clock import now_us
 from thorndale.sip.transaction import TimerDurations
-from thorndale.standins.box import SetupServer
 from thorndale.standins.callers import Callers
-from thorndale.standins.onward import ForwardingServer
+from thorndale.standins.forwarding import ForwardingServer
+from thorndale.standins.loop_stalls import LoopStallMonitor
 from thorndale.standins.processor import Work
-from thorndale.standins.pulse import Pulse
-from thorndale.standins.traffic import CallStatistics, Traffic, caller_types, draw
+from thorndale.standins.server import SetupServer
+from thorndale.standins.traffic import CallStatistics, Traffic, caller_types, seeded_random
 
 LIMITS = Limits(connections=4096)
 
@@ -63,7 +63,7 @@
     def __init__(self, loop, day, observe, server_ports, callers=0, proxies=(), calls=0, index=0, count=1, onward=None):
         """`server_ports`: {name: port}; `proxies`: their addresses, in order; `onward`: {name: ForwardingPlan} of the
         servers that forward calls."""
-        random, times = draw(day.seed + 7919 * index), times_of(day)
+        random, times = seeded_random(day.seed + 7919 * index), times_of(day)
         planned = {plan.name: plan for plan in day.boxes}
         self.classification = ClassificationCheck(day)
         self.servers = {}
@@ -105,7 +105,7 @@
             self.callers.start()
         calling_agents = [server.forwarding for server in self.servers.values() if isinstance(server, ForwardingServer)]
         calling_agents += [self.callers] if self.callers else []
-        self.stall_monitor = Pulse(self.loop, [agent.endpoint for agent in calling_agents], self.observe)
+        self.stall_monitor = LoopStallMonitor(self.loop, [agent.endpoint for agent in calling_agents], self.observe)
 
     async def run(self, began):
         self.statistics.began = began
@@ -131,9 +131,9 @@
         return (
             dict(statistics.count),
             {s: dict(row) for s, row in statistics.per_second.items()},
-            statistics.lag,
+            statistics.setup_times_us,
             {name: server.setups for name, server in self.servers.items()},
-            {name: server.waits for name, server in self.servers.items()},
+            {name: server.queueing_delays_us for name, server in self.servers.items()},
             self.classification.wrong,
             dict(self.classification.editions),
             self.traffic.seconds if self.traffic else 0.0,
--- a/thorndale/standins/pulse.py
+++ b/thorndale/standins/loop_stalls.py
@@ -10,7 +10,7 @@
 STALL_US = 20_000  # a longer gap between two wake-ups counts as a stall
 
 
-class Pulse:
+class LoopStallMonitor:
     """Calls `observe(ended_us, endpoint, "still", began_us as text)` for each stall and endpoint, until `stop()`."""
 
     def __init__(self, loop, endpoints, observe):
--- a/thorndale/standins/platform.py
+++ b/thorndale/standins/platform.py
@@ -72,7 +72,7 @@
 
 
 class CentralServer(StreamServer):
-    """`spoil(call)`: bytes to send instead of the answer of a call, or None. `seen`: {call: number of set-ups}.
+    """`corrupt_answer(call)`: bytes to send instead of an answer, or None. `seen`: {call: number of set-ups}.
     `piece_s`: seconds between the two halves of an answer; 0 writes it whole. `closes`: whether each new connection is
     closed at once; `accepted` counts connections."""
 
@@ -80,7 +80,7 @@
         super().__init__()
         self.name, self.answer_s, self.hold_s = name, answer_s, hold_s
         self.seen, self.standing, self.cancelled, self.cut_by_peer = {}, {}, set(), set()
-        self.spoil, self.hang, self.unsent = lambda call: None, False, []
+        self.corrupt_answer, self.hang, self.unsent = lambda call: None, False, []
         self.piece_s, self.queues, self.closes, self.accepted = 0.0, {}, False, 0
 
     def send(self, writer, data, in_pieces=False):
@@ -146,7 +146,7 @@
             self.send(writer, _reply(m, 487))
             return
         self.standing[m.call_id] = writer
-        answer = self.spoil(m.call_id) or _reply(m, 200, self.description(m.call_id))
+        answer = self.corrupt_answer(m.call_id) or _reply(m, 200, self.description(m.call_id))
         self.send(writer, answer, self.piece_s > 0)
         self.later(self.hold_s, self.end, m.call_id, 16)
 
--- a/thorndale/standins/script.py
+++ b/thorndale/standins/script.py
@@ -35,7 +35,7 @@
 ALL = "all"  # in place of a list of names: all servers, or all proxies
 
 
-class BoxPlan(Struct, forbid_unknown_fields=True):
+class CentralServerPlan(Struct, forbid_unknown_fields=True):
     name: str
     trunk_group: str
     transport: Annotated[str, Meta(pattern="^(udp|tcp)$")] = "udp"
@@ -43,7 +43,7 @@
     lines: int = 4000
 
 
-class TypePlan(Struct, forbid_unknown_fields=True):
+class CallTypePlan(Struct, forbid_unknown_fields=True):
     name: str
     prefix: str
     part: float
@@ -73,8 +73,8 @@
 class Day(Struct, forbid_unknown_fields=True):
     seconds: Annotated[float, Meta(gt=0, le=3600)]
     rate: Annotated[float, Meta(gt=0, le=5000)]
-    boxes: Annotated[list[BoxPlan], Meta(min_length=1)]
-    types: Annotated[list[TypePlan], Meta(min_length=1)]
+    boxes: Annotated[list[CentralServerPlan], Meta(min_length=1)]
+    types: Annotated[list[CallTypePlan], Meta(min_length=1)]
     proxies: Annotated[int, Meta(ge=1, le=1000)] = 3
     seed: int = 1
     tcp_part: float = 0.3
--- a/thorndale/standins/box.py
+++ b/thorndale/standins/server.py
@@ -48,7 +48,7 @@
         self.load_samples = deque([(0, 0)])
         self.proxy_by_connection = {}  # {hop of a connection: sent-by of the proxy that sends set-ups over it}
         self.most_connections, self.opened = 0, 0  # connections that carried set-ups: most at one time, in total
-        self.setups, self.waits = {}, []  # {second: set-ups}; queueing delay of each in us
+        self.setups, self.queueing_delays_us = {}, []  # {second: set-ups}; queueing delay of each in us
         self.told_to = {}  # {port of a proxy: 'lost', 'stuck', or the load header that is repeated to it}
         self.on_setup = lambda number, sorted_header: None  # gets the X-Sorted header of each set-up
 
@@ -147,7 +147,7 @@
         if now - self.load_samples[-1][0] >= LOAD_SAMPLE_INTERVAL_US:
             self.load_samples.append((now, wait_us))
         self.setups[now // 1_000_000] = self.setups.get(now // 1_000_000, 0) + 1
-        self.waits.append(wait_us)
+        self.queueing_delays_us.append(wait_us)
         self.on_setup(tx.message.uri.partition(":")[2], tx.message.get("x-sorted"))
         if self.flood:
             self.processor._add_work(now, self.work.reject_us)
--- a/thorndale/standins/traffic.py
+++ b/thorndale/standins/traffic.py
@@ -23,7 +23,7 @@
     ]
 
 
-def draw(seed):
+def seeded_random(seed):
     """Returns a generator function of random floats in [0, 1): the high bits of a linear congruential generator."""
     state = [seed & (1 << 64) - 1]
 
@@ -36,7 +36,7 @@
 
 def cumulative_shares(day):
     """The cumulative shares of the calls by proxy: equal shares, or with `uneven` some several times as large."""
-    random = draw(day.seed ^ 0x5DEECE66D)
+    random = seeded_random(day.seed ^ 0x5DEECE66D)
     entrances = day.proxies // day.hops  # callers reach only the first hop
     weights = [(0.2, 0.5, 0.5, 1.0, 1.0, 1.0, 3.0)[int(random() * 7)] if day.uneven else 1.0 for _ in range(entrances)]
     total, shares = 0.0, []
@@ -51,7 +51,7 @@
 
     def __init__(self, day, kinds):
         self.day, self.kinds, self.began = day, kinds, 0
-        self.count, self.per_second, self.lag = Counter(), {}, []
+        self.count, self.per_second, self.setup_times_us = Counter(), {}, []
 
     def __call__(self, now, event, attempt):
         name = self.day.types[attempt.intent.kind].name
@@ -60,7 +60,7 @@
         self.count[(name, key)] += 1
         row[key] += 1
         if event == "stood":
-            self.lag.append(now - attempt.sent_at)
+            self.setup_times_us.append(now - attempt.sent_at)
             if now - attempt.intent.first_at <= self.kinds[attempt.intent.kind].target_us:
                 self.count[(name, "in time")] += 1
 
--- a/thorndale/standins/apart.py
+++ b/thorndale/standins/workers.py
@@ -18,7 +18,7 @@
 import msgspec
 import uvloop
 
-from thorndale.standins.parts import StandInGroup
+from thorndale.standins.groups import StandInGroup
 
 SERVERS_PER_WORKER, CALL_RATE_PER_WORKER = 8, 150  # servers, or calls/s of callers, well within one worker's capacity
 PROXY_MEMORY_BYTES = 45 << 20
