--- a/tests/emulator/test_chains.py
+++ b/tests/emulator/test_chains.py
@@ -1,5 +1,5 @@
-"""Calls through a chain of hops: what the marks on refusals bound, explored over every order of refusals in small
-chains with the real module at each hop, and what they are worth in a loaded chain."""
+"""Calls through a chain of hops: marks on refusals bound the set-ups that a call costs each hop. Every order of refusals
+is explored in small chains with the real decision module at each hop; loaded chains show the effect of the marks."""
 
 import pytest
 
@@ -13,12 +13,12 @@
 
 
 class ScriptedChain(Chain):
-    """One call; each set-up that comes to a server takes the next word of the script, SERVE once it has run out."""
+    """One call. Each set-up that arrives at a server takes the next outcome of the script, SERVE at its end."""
 
     def __init__(self, depth, script, lost_progress=False):
         super().__init__(ChainPlan(depth, 1.0, servers=3, reports=False, origin_marked=True))
-        self.script, self.taken, self.lost_progress = list(script), 0, lost_progress
-        self.stands, self.refusals = 0, []
+        self.script, self.setups_seen, self.lost_progress = list(script), 0, lost_progress
+        self.answers, self.refusals = 0, []
 
     def outcome(self):
         self.run(S)
@@ -26,57 +26,61 @@
         self.run(60 * S)
         return self
 
-    def _arrive(self, seizure):
-        word = self.script[self.taken] if self.taken < len(self.script) else SERVE
-        self.taken += 1
+    def _on_setup(self, seizure):
+        outcome_name = self.script[self.setups_seen] if self.setups_seen < len(self.script) else SERVE
+        self.setups_seen += 1
         self.setups_at[seizure.server.hop] += 1
-        if word == SERVE:
-            self._set_up(seizure)
+        if outcome_name == SERVE:
+            self._on_setup_done(seizure)
         else:
-            self._answer_refused(seizure, OUTCOMES[word], seizure.server.hop, 0)
+            self._answer_refused(seizure, OUTCOMES[outcome_name], seizure.server.hop, 0)
 
-    def _carried_on(self, seizure):
+    def _on_setup_forwarded(self, seizure):
         if not self.lost_progress:
-            super()._carried_on(seizure)
+            super()._on_setup_forwarded(seizure)
 
     def _caller_answered(self, caller):
-        self.stands += 1
+        self.answers += 1
 
     def _caller_refused(self, caller, origin_hop, comeback_us):
         self.refusals.append(origin_hop)
 
 
-def explore(depth, words, kind=ScriptedChain, **options):
-    """Every script: a play that used more words than it was given is played again with each word in that place."""
-    waiting = [()]
-    while waiting:
-        script = waiting.pop()
+def explore(depth, outcome_names, kind=ScriptedChain, **options):
+    """Plays every script. One that had more set-ups than outcomes is played again with each outcome in each such place."""
+    scripts_left = [()]
+    while scripts_left:
+        script = scripts_left.pop()
         play = kind(depth, script, **options).outcome()
         yield script, play
-        if play.taken > len(script):
-            waiting += [(*script, *[SERVE] * gap, word) for gap in range(play.taken - len(script)) for word in words]
-
-
-def faults(script, play, depth):
-    """The bounds that a play breaks, by name."""
-    found = list(play.breaks)
-    if play.stands + len(play.refusals) != 1:
-        found.append("one final answer")
+        if play.setups_seen > len(script):
+            scripts_left += [
+                (*script, *[SERVE] * gap, outcome_name)
+                for gap in range(play.setups_seen - len(script))
+                for outcome_name in outcome_names
+            ]
+
+
+def broken_bounds(script, play, depth):
+    """The names of the bounds that a play breaks."""
+    broken = list(play.breaks)
+    if play.answers + len(play.refusals) != 1:
+        broken.append("one final answer")
     if any(count > MAX_SEIZURES for count in play.setups_at[1:]):
-        found.append("set-ups at a hop within one proxy's")
+        broken.append("set-ups at a hop within the limit of one proxy")
     if sum(play.setups_at) > depth - 1 + MAX_SEIZURES + (MAX_SEIZURES - 1) * (depth - 1):
-        found.append("set-ups of the whole chain")
-    if len(script) == 1 and not play.stands:
-        found.append("one refusal with other servers idle is got over")
-    return found
+        broken.append("set-ups of the whole chain")
+    if len(script) == 1 and not play.answers:
+        broken.append("a single refusal with other servers idle does not fail the call")
+    return broken
 
 
 @pytest.mark.parametrize("lost_progress", [False, True])
-@pytest.mark.parametrize(("depth", "words"), [(1, (FULL, FAULTY)), (2, (FULL, FAULTY)), (3, (FULL,))])
-def test_whatever_is_refused_where_a_call_costs_each_hop_what_one_proxy_spends(depth, words, lost_progress):
+@pytest.mark.parametrize(("depth", "outcome_names"), [(1, (FULL, FAULTY)), (2, (FULL, FAULTY)), (3, (FULL,))])
+def test_refusals_at_any_hop_cost_each_hop_at_most_the_attempts_of_one_proxy(depth, outcome_names, lost_progress):
     plays = 0
-    for script, play in explore(depth, words, lost_progress=lost_progress):
-        assert not faults(script, play, depth), (script, play.setups_at)
+    for script, play in explore(depth, outcome_names, lost_progress=lost_progress):
+        assert not broken_bounds(script, play, depth), (script, play.setups_at)
         plays += 1
     assert plays > 3**depth
 
@@ -84,22 +88,22 @@
 class MarkLost(ScriptedChain):
     """The servers do not pass the marks on."""
 
-    def _marked(self, leg, origin_hop):
+    def _marks_origin(self, leg, origin_hop):
         return False
 
-    def _carried_on(self, seizure):
+    def _on_setup_forwarded(self, seizure):
         pass
 
 
 class MarkOnEverything(ScriptedChain):
     """A server marks its own refusals too."""
 
-    def _marked(self, leg, origin_hop):
+    def _marks_origin(self, leg, origin_hop):
         return True
 
 
-class Deaf(Proxy):
-    """A module that does not heed the marks."""
+class IgnoresMarks(Proxy):
+    """A module that ignores the marks."""
 
     def _on_forwarded(self, event):
         pass
@@ -109,13 +113,13 @@
 
 
 class RetriesBeyond(Proxy):
-    """A module that goes again after a refusal from further down."""
+    """A module that tries another server after a refusal from further down."""
 
     def _on_seizure_ended(self, event):
         super()._on_seizure_ended(event)
-        held = self.calls.get(event.call)
-        if held and held.want in ("reject", "fail"):
-            held.want = "again"
+        pending = self.calls.get(event.call)
+        if pending and pending.want in ("reject", "fail"):
+            pending.want = "again"
 
 
 def with_module(module):
@@ -123,12 +127,12 @@
         def __init__(self, *given, **options):
             super().__init__(*given, **options)
             for server_hop in self._proxies():
-                server_hop.door.module = module(7, self._settings())
+                server_hop.module_host.module = module(7, self._settings())
                 listed = tuple(io.Server(s.number, 0, io.SERVING, 0) for s in server_hop.servers)
-                server_hop.door.add_event(io.Servers(listed, True, True))
+                server_hop.module_host.add_event(io.Servers(listed, True, True))
 
         def _proxies(self):
-            hop = self.entrances
+            hop = self.entry_proxies
             while hop:
                 yield from hop
                 hop = [s.onward for s in hop[0].servers if s.onward is not None]
@@ -139,14 +143,14 @@
 @pytest.mark.parametrize(
     ("planted", "bound"),
     [
-        (MarkLost, "set-ups at a hop within one proxy's"),
-        (with_module(Deaf), "set-ups at a hop within one proxy's"),
-        (with_module(RetriesBeyond), "set-ups at a hop within one proxy's"),
-        (MarkOnEverything, "one refusal with other servers idle is got over"),
+        (MarkLost, "set-ups at a hop within the limit of one proxy"),
+        (with_module(IgnoresMarks), "set-ups at a hop within the limit of one proxy"),
+        (with_module(RetriesBeyond), "set-ups at a hop within the limit of one proxy"),
+        (MarkOnEverything, "a single refusal with other servers idle does not fail the call"),
     ],
 )
 def test_planted_errors_are_found(planted, bound):
-    assert any(bound in faults(script, play, 2) for script, play in explore(2, (FULL, FAULTY), planted))
+    assert any(bound in broken_bounds(script, play, 2) for script, play in explore(2, (FULL, FAULTY), planted))
 
 
 @pytest.mark.parametrize("reports", [False, True])
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -1,4 +1,5 @@
-"""The emulator: the same day is the same to the letter, its parts agree, and the hard days of a lost site in small."""
+"""The emulator: equal seeds give equal days, its figures agree with each other, and small fleets pass the difficult days
+of a lost site."""
 
 import pytest
 
@@ -13,7 +14,7 @@
     return Fleet(SMALL._replace(**change)).run()
 
 
-def test_the_same_seed_is_the_same_day_and_another_is_another():
+def test_equal_seeds_give_equal_days_and_different_seeds_do_not():
     assert played(seed=3, troubles=LOST) == played(seed=3, troubles=LOST) != played(seed=4, troubles=LOST)
 
 
@@ -42,7 +43,7 @@
     day = played(troubles=troubles)
     assert not day.breaks
     earned, allowed = day.earned, day.allowed
-    # the second window earns less: its calls that stood at the lost site were cut
+    # Window 1 earns less, because its established calls at the lost site are cut.
     assert min(earned[n] / allowed[n] for n in (0, 5)) > 0.8 and earned[3] / allowed[3] > 0.75, (earned, allowed)
     assert sum(day.spilled[24:40]) / 16 < 28 * 1.3 and sum(day.spilled[24:40]) > 50
     assert max(day.longest_us[1][25:40]) < 1 * S
--- a/thorndale/emulator/__init__.py
+++ b/thorndale/emulator/__init__.py
@@ -1,5 +1,7 @@
-"""A fleet in virtual time: many proxies running the very module and sites, servers on the stand-ins' processor model,
-callers with patience and redials, a list and reports that come late. Seeded, whole microseconds, no I/O.
+"""A discrete-event simulation of a fleet: many proxies that run the real decision module and site router, servers on
+the processor model of the stand-ins, callers with patience and redials, and a server list and load reports that arrive
+late. Seeded, in whole microseconds of virtual time, without I/O.
 
-`fleet.Fleet(day).run()` gives a `fleet.Played`. What it leaves out: bytes, connections, lost messages.
+`fleet.Fleet(day).run()` returns a `fleet.DayResult`. Not modelled: bytes and connections. Messages are lost only on the
+links that the day lists.
 """
--- a/thorndale/emulator/day.py
+++ b/thorndale/emulator/day.py
@@ -1,4 +1,4 @@
-"""A day to be played: who calls, what serves, what happens. Plain values."""
+"""The scenario of an emulated day: callers, servers, faults and other events. Plain values."""
 
 from typing import NamedTuple
 
@@ -15,12 +15,22 @@
 
 
 class Trouble(NamedTuple):
-    """`kind`: 'dark' (all servers of `site` silent), 'killed' (reset and refused), 'restart' (back, cold), 'back' (a
-    silent site speaks again), 'slow' (work `factor` times as long), 'burst' (calls `factor` times as many until the
-    next), 'cuts' (answers, and cuts each call a second later), 'errors' (answers the part `factor` of its set-ups with
-    a fault at once), 'sizes' (capacities turn by one within each pool), 'join' (listed from now on, not before),
-    'stall' (`proxies` stand still for `span_us`). `servers`: these alone, not all of the site. `told`: whether the
-    list tells of it, `late_us` later than it would."""
+    """An event of the day. `kind` is one of:
+
+    - 'dark': all servers of `site` stop answering
+    - 'killed': they reset their calls and refuse new ones
+    - 'restart': they return as new, cold processes
+    - 'back': unresponsive servers answer again, as the same processes
+    - 'slow': each piece of work takes `factor` times as long
+    - 'burst': the call rate is multiplied by `factor` until the next burst event
+    - 'cuts': they answer calls and cut each one a second later
+    - 'errors': they answer the fraction `factor` of their set-ups with an error at once
+    - 'sizes': within each pool, each server takes over the capacity of the next
+    - 'join': they are listed from now on, not before
+    - 'stall': `proxies` are suspended for `span_us`
+
+    `servers`: affects only these instead of the whole site.
+    `told`: whether the server list announces it, `late_us` later than usual."""
 
     at_us: int
     kind: str
@@ -34,35 +44,40 @@
 
 
 class Link(NamedTuple):
-    """What befalls messages between these proxies and servers from `at_us` to `until_us`: `way` 'out' (to the server),
-    'back' or 'both'; a part of them is lost, the others come `delay_us` later. `reports`: load reports alone."""
+    """A faulty link between these proxies and servers from `at_us` to `until_us`. `direction`: 'out' (to the server),
+    'back' or 'both'. The fraction `lose` of the messages is lost, the others arrive `delay_us` later. `reports`:
+    affects load reports only."""
 
     at_us: int
     until_us: int
     proxies: frozenset
     servers: frozenset
-    way: str = "both"
+    direction: str = "both"
     lose: float = 1.0
     delay_us: int = 0
     reports: bool = False
 
-    def joins(self, proxy, server):
+    def connects(self, proxy, server):
         return proxy in self.proxies and server in self.servers
 
 
 class Day(NamedTuple):
-    """`servers`: per site how many. `calls`: a second, of all callers. `outside`: per site set-ups a second from
-    outside. `policy`: 'sites', 'none' (own site alone), 'unbounded' (spill without a limit), 'plain' (every site to
-    every call, the module alone) or 'oracle' (sees all true states). `largest`: the part of all calls that one
-    proxy has, 0 for an equal one. `together`: the servers of a site are one pool, else each is a pool of its own.
-    `sizes`: capacity of each server, of the model's; `way`: how servers of a pool are chosen among (`ways.py`), the
-    module's own where empty. `unequal`: some proxies get several times the calls of others."""
+    """`servers`: number of servers per site.
+    `calls`: call rate of all callers per second.
+    `outside`: per site, the set-ups per second that it accepts from other sites.
+    `policy`: 'sites', 'none' (own site only), 'unbounded' (overflow without a limit), 'plain' (every site is open to
+    every call, the module alone decides) or 'oracle' (places calls by the true state of all servers).
+    `largest_proxy_fraction`: the fraction of all calls that proxy 0 receives, 0 for an equal one.
+    `together`: the servers of a site form one pool, otherwise each server is a pool of its own.
+    `sizes`: capacity of each server as a multiple of the model's.
+    `way`: how a server of a pool is selected (`ways.py`), empty for the module's own round robin.
+    `unequal`: some proxies receive several times the calls of others."""
 
     seed: int = 1
     length_us: int = 120 * S
     proxies: int = 20
     servers: tuple = (5, 5)
-    lines: int = 600  # a server: its processor runs short before them
+    lines: int = 600  # of a server; its processor is exhausted before its lines are
     calls: float = 400.0
     outside: tuple = (150.0, 150.0)
     policy: str = "sites"
@@ -73,18 +88,18 @@
     )
     own_us: int = 6_000
     cross_us: int = 17_000
-    list_us: tuple = (1_400_000, 4_700_000)  # from an event to the list's telling it, drawn per proxy
-    report_us: int = 1_000_000
-    patience: float = 0.35  # of the guard time, after which a try is given up
+    list_delay_us: tuple = (1_400_000, 4_700_000)  # from an event until the list announces it, drawn per proxy
+    report_interval_us: int = 1_000_000
+    patience_fraction: float = 0.35  # fraction of the guard time after which an attempt is given up
     redials: int = 3
-    backoff_us: int = 1_000_000
-    largest: float = 0.0
+    redial_delay_us: int = 1_000_000
+    largest_proxy_fraction: float = 0.0
     warm_up_us: int = 12_000_000
     together: bool = False
     sizes: tuple = ()
     links: tuple = ()
     way: str = ""
     unequal: bool = False
-    start_us: int = 0  # proxies begin at a moment drawn within it
-    share: str = ""  # what proxies tell each other: 'rights', 'words' or both; empty for nothing
-    between: tuple = ()  # what befalls these messages (`sharing.Between`)
+    start_us: int = 0  # each proxy starts at a random moment within it
+    share: str = ""  # between proxies: 'rights' (leases), 'words' (failure reports) or both; empty for none
+    between: tuple = ()  # faulty links between proxies (`sharing.Between`)
--- a/thorndale/emulator/draw.py
+++ b/thorndale/emulator/draw.py
@@ -1,49 +1,58 @@
-"""A day drawn from a seed: loss and return of a site with the hard cases mixed in."""
+"""A random day by seed: a site is lost and returns, with difficult variants mixed in."""
 
 from random import Random
 
 from thorndale.emulator.day import Day, S, Trouble
 
-SERVER_RATE = 100.0  # set-ups a second of one warm server: 10 ms of work each
+SERVER_RATE = 100.0  # set-ups a second of one warm server, at 10 ms of work each
 
 
 def drawn(seed, length_s=90, proxies=228, servers=10, calls=680.0):
-    """(a Day, what it is in words). Sites are equal, unequal or three; a loss is silent or loud, told or not; some
-    flap, some cut what they answer, some return cold into a burst, some are lost a second time."""
-    chance = Random(seed)
-    shape = chance.choice(("equal", "equal", "unequal", "three"))
-    split = {
+    """Returns (Day, description). There are two equal, two unequal or three sites. The lost site stops answering or
+    refuses calls, and the server list announces this or does not. Variants: the site flaps, cuts the calls that it
+    answers, returns cold into a burst, is slow, or is lost a second time."""
+    rng = Random(seed)
+    shape = rng.choice(("equal", "equal", "unequal", "three"))
+    servers_per_site = {
         "equal": (servers // 2, servers - servers // 2),
         "unequal": (servers // 4, servers - servers // 4),
         "three": (servers // 3, servers // 3, servers - 2 * (servers // 3)),
     }[shape]
-    site, at = chance.randrange(len(split)), 20 * S
-    back = int((45 + 15 * chance.random()) * S)
-    told = chance.random() < 0.7
-    case = chance.choice(("plain", "plain", "flap", "cuts", "burst", "slow", "second"))
-    kind, again = chance.choice((("dark", "back"), ("dark", "restart"), ("killed", "restart")))
-    troubles = [Trouble(at, kind, site, told=told), Trouble(back, again, site, told=told)]
+    site, loss_at = rng.randrange(len(servers_per_site)), 20 * S
+    return_at = int((45 + 15 * rng.random()) * S)
+    announced = rng.random() < 0.7
+    case = rng.choice(("plain", "plain", "flap", "cuts", "burst", "slow", "second"))
+    kind, return_kind = rng.choice((("dark", "back"), ("dark", "restart"), ("killed", "restart")))
+    troubles = [
+        Trouble(loss_at, kind, site, told=announced),
+        Trouble(return_at, return_kind, site, told=announced),
+    ]
     if case == "flap":
-        apart = (2 + 3 * chance.random()) * S
-        troubles = [Trouble(int(at + n * apart), (kind, again)[n % 2], site, told=told) for n in range(10)]
+        interval_us = (2 + 3 * rng.random()) * S
+        troubles = [
+            Trouble(int(loss_at + n * interval_us), (kind, return_kind)[n % 2], site, told=announced) for n in range(10)
+        ]
     elif case == "cuts":
-        troubles = [Trouble(at, "cuts", site), Trouble(back, "back", site, told=False)]
+        troubles = [Trouble(loss_at, "cuts", site), Trouble(return_at, "back", site, told=False)]
     elif case == "burst":
-        troubles += [Trouble(back - 2 * S, "burst", site, 1.2), Trouble(back + 10 * S, "burst", site, 1.0)]
+        troubles += [Trouble(return_at - 2 * S, "burst", site, 1.2), Trouble(return_at + 10 * S, "burst", site, 1.0)]
     elif case == "slow":
-        troubles = [Trouble(at, "slow", site, 4.0), Trouble(back, "slow", site, 1.0)]
+        troubles = [Trouble(loss_at, "slow", site, 4.0), Trouble(return_at, "slow", site, 1.0)]
     elif case == "second":
-        troubles += [Trouble(back + 6 * S, kind, site, told=told), Trouble(back + 14 * S, again, site, told=told)]
-    own = calls / len(split)
-    outside = tuple(max(0.0, 0.97 * SERVER_RATE * n - own) for n in split)
+        troubles += [
+            Trouble(return_at + 6 * S, kind, site, told=announced),
+            Trouble(return_at + 14 * S, return_kind, site, told=announced),
+        ]
+    calls_per_site = calls / len(servers_per_site)
+    outside = tuple(max(0.0, 0.97 * SERVER_RATE * n - calls_per_site) for n in servers_per_site)
     day = Day(
         seed=seed,
         length_us=length_s * S,
         proxies=proxies,
-        servers=split,
+        servers=servers_per_site,
         calls=calls,
         outside=outside,
         troubles=tuple(sorted(troubles)),
-        largest=0.2 if chance.random() < 0.2 else 0.0,
+        largest_proxy_fraction=0.2 if rng.random() < 0.2 else 0.0,
     )
-    return day, f"{shape} {case} {kind}" + ("" if told else " untold")
+    return day, f"{shape} {case} {kind}" + ("" if announced else " untold")
--- a/thorndale/emulator/settings.py
+++ b/thorndale/emulator/settings.py
@@ -1,18 +1,18 @@
-"""The module's plain settings map of an emulated proxy."""
+"""The settings map of the decision module in an emulated proxy."""
 
 from thorndale.emulator.day import S
 
 TICK_US = 1_000
-RELEASE_US = 500_000  # us that a proxy waits after a time-out, reset or cancel before its next seizure
+RELEASE_US = 500_000  # a proxy waits this long after a time-out, reset or cancel before its next seizure
 DRAIN_GRACE_US = 500_000
-COMEBACK_MOST_US = 2 * S
-SEIZURES_MOST, OPEN_MOST = 5, 60_000
+MAX_COMEBACK_US = 2 * S
+MAX_SEIZURES, MAX_OPEN_CALLS = 5, 60_000
 
 
-def module_settings(types, work, instances, pools, **other):
-    """`types`: call types of `day.Type`; `work`: of the servers' processors; `pools`: those that a call of any type may
-    take; `other`: values in place of those here."""
-    base = {
+def module_settings(types, work, instances, pools, **overrides):
+    """`types`: call types (`day.Type`). `work`: the work figures of the servers' processors. `pools`: the pools that
+    are open to calls of every type. `overrides`: values that replace the defaults."""
+    defaults = {
         "tick_us": TICK_US,
         "instances": instances,
         "type_target_us": [t.target_us for t in types],
@@ -25,11 +25,11 @@
         "over_quota_part": 1.0,
         "release_us": RELEASE_US,
         "resend_us": 0,
-        "seizures_max": SEIZURES_MOST,
-        "open_max": OPEN_MOST,
+        "seizures_max": MAX_SEIZURES,
+        "open_max": MAX_OPEN_CALLS,
         "may_cancel": True,
         "comeback_told": True,
-        "comeback_max_us": COMEBACK_MOST_US,
+        "comeback_max_us": MAX_COMEBACK_US,
         "drain_grace_us": DRAIN_GRACE_US,
         "start_capacity": work.cold_from,
         "warm_up_us": work.warm_us,
@@ -38,4 +38,4 @@
         "list_asked": False,
         "fleet_rights": False,
     }
-    return base | other
+    return defaults | overrides
--- a/thorndale/emulator/sharing.py
+++ b/thorndale/emulator/sharing.py
@@ -1,7 +1,9 @@
-"""What the proxies of an emulated fleet tell each other: one Share a proxy, messages on links that lose, delay and cut.
+"""Messages between the proxies of an emulated fleet: one FleetExchange per proxy, on links that lose, delay and
+duplicate messages.
 
-`Sharing(fleet, links, rights, words)`; `links` are `Between`. A proxy that stands still hears and does nothing until it
-goes on. Retries and first set-ups are counted at the servers, cut into the design's windows (`over`, `use`).
+`Sharing(fleet, links, rights, words)`; `links` are `Between`.
+A suspended proxy receives and does nothing until it resumes. Retries and first set-ups are recorded at the servers, to
+check them against the budget of each window: `over`, `use`.
 """
 
 from typing import NamedTuple
@@ -11,11 +13,12 @@
 from thorndale.fleet.exchange import FleetExchange
 from thorndale.spread import measure
 
-WALL_S = 1_800_000_000
+WALL_CLOCK_START_S = 1_800_000_000
 
 
 class Between(NamedTuple):
-    """From `at_us` to `until_us`: messages from proxies `a` to proxies `b`, and back where `both`."""
+    """A faulty link from `at_us` to `until_us`, for messages from proxies `a` to proxies `b`, and back where
+    `bidirectional`. `lose` and `duplicate` are probabilities."""
 
     at_us: int
     until_us: int
@@ -23,18 +26,18 @@
     b: frozenset
     lose: float = 1.0
     delay_us: int = 0
-    double: float = 0.0
-    both: bool = True
+    duplicate: float = 0.0
+    bidirectional: bool = True
 
-    def meets(self, now, a, b):
+    def applies_to(self, now, a, b):
         if not self.at_us <= now < self.until_us:
             return False
-        return a in self.a and b in self.b or self.both and b in self.a and a in self.b
+        return a in self.a and b in self.b or self.bidirectional and b in self.a and a in self.b
 
 
 class Sharing:
     def __init__(self, fleet, links=(), rights=True, words=True):
-        self.fleet, self.links, self.chance = fleet, links, fleet.chance
+        self.fleet, self.links, self.rng = fleet, links, fleet.rng
         self.names = [f"proxy{n}" for n in range(len(fleet.hosts))]
         servers = [f"box{s.number}" for s in fleet.servers]
         self.shares = [
@@ -42,38 +45,38 @@
                 self.names,
                 n,
                 servers,
-                self.chance.getrandbits(64),
+                self.rng.getrandbits(64),
                 0,
-                self.chance.getrandbits(32),
-                WALL_S << 16,
+                self.rng.getrandbits(32),
+                WALL_CLOCK_START_S << 16,
                 rights,
                 words,
             )
             for n in range(len(fleet.hosts))
         ]
-        self.due = [0] * len(self.shares)
+        self.tick_due_at = [0] * len(self.shares)
         self.sent = self.bytes = 0
-        self.liars = {}  # proxy: what it makes of a message it sends
-        self.firsts, self.retries = [[] for _ in servers], [[] for _ in servers]  # by server: when they came
+        self.liars = {}  # by proxy: a function that falsifies its outgoing messages
+        self.firsts, self.retries = [[] for _ in servers], [[] for _ in servers]  # arrival times, by server
         for n in range(len(self.shares)):
-            self._arm(n)
+            self._schedule_tick(n)
 
-    # ---- what a proxy does ----
+    # ---- at a proxy ----
 
     def odds_before(self, host, events):
-        share = self.shares[host.number]
+        own_exchange = self.shares[host.number]
         for event in events:
             if type(event) is io.Servers:
                 for entry in event.entries:
-                    share.server_started(entry.server, entry.started_us // 1_000_000)
-        return share.odds_before(events, self._module(host))
+                    own_exchange.server_started(entry.server, entry.started_us // 1_000_000)
+        return own_exchange.odds_before(events, self._module(host))
 
     def _module(self, host):
         return getattr(host.core, "module", host.core)
 
     def record_outcomes(self, host, odds_before):
         self.shares[host.number].record_outcomes(self.fleet.now, odds_before, self._module(host))
-        self._arm(host.number)
+        self._schedule_tick(host.number)
 
     def record_seizure(self, host, action):
         self.shares[host.number].record_seizure(self.fleet.now, action.server, action.first)
@@ -81,11 +84,12 @@
     def request_lease(self, host, action):
         n = host.number
         self._send(n, self.shares[n].request_lease(self.fleet.now, action.call, action.server, action.resume_us))
-        self._tell(n)
-        self._arm(n)
+        self._schedule_events(n)
+        self._schedule_tick(n)
 
     def arrived(self, server, first, retry):
-        """At the server: a first set-up that the budget counts, a retry, or (a redial's first seizure) neither."""
+        """Records a set-up at the server: a first set-up that the budget counts, a retry, or neither (the first seizure
+        of a redial)."""
         if first:
             self.firsts[server].append(self.fleet.now)
         elif retry:
@@ -93,68 +97,68 @@
 
     # ---- messages ----
 
-    def _send(self, n, out):
+    def _send(self, n, outgoing):
         fleet = self.fleet
-        lie = self.liars.get(n)
-        for to, datagram in lie(fleet.now, out) if lie else out:
+        falsify = self.liars.get(n)
+        for to, datagram in falsify(fleet.now, outgoing) if falsify else outgoing:
             data = wire.encode(datagram)
             self.sent, self.bytes = self.sent + 1, self.bytes + len(data)
-            copies, wait = 1, int(1_000 + 4_000 * self.chance.random())
+            copies, wait = 1, int(1_000 + 4_000 * self.rng.random())
             for link in self.links:
-                if link.meets(fleet.now, n, to):
-                    copies = 0 if self.chance.random() < link.lose else copies + (self.chance.random() < link.double)
+                if link.applies_to(fleet.now, n, to):
+                    copies = 0 if self.rng.random() < link.lose else copies + (self.rng.random() < link.duplicate)
                     wait += link.delay_us
             for _ in range(copies):
                 fleet._after(wait, self._arrive, n, to, data)
 
     def _arrive(self, sender, to, data):
         fleet = self.fleet
-        until = fleet.hosts[to].until
-        if until > fleet.now:
-            fleet._at(until, self._arrive, sender, to, data)
+        paused_until = fleet.hosts[to].paused_until
+        if paused_until > fleet.now:
+            fleet._at(paused_until, self._arrive, sender, to, data)
             return
         self._send(to, self.shares[to].receive(fleet.now, wire.decode(data), sender))
-        self._tell(to)
-        self._arm(to)
+        self._schedule_events(to)
+        self._schedule_tick(to)
 
-    def _tell(self, n):
+    def _schedule_events(self, n):
         if self.shares[n].has_events():
-            self.fleet._after(0, self._told, n)
+            self.fleet._after(0, self._deliver_events, n)
 
-    def _told(self, n):
+    def _deliver_events(self, n):
         host = self.fleet.hosts[n]
-        if host.until > self.fleet.now:
-            self.fleet._at(host.until, self._told, n)
+        if host.paused_until > self.fleet.now:
+            self.fleet._at(host.paused_until, self._deliver_events, n)
             return
         for event in self.shares[n].take_events():
-            host.door.add_event(event)
+            host.module_host.add_event(event)
         self.fleet._flush(host)
 
-    def _arm(self, n):
+    def _schedule_tick(self, n):
         at = max(self.fleet.now, self.shares[n].next_at())
-        if not self.fleet.now <= self.due[n] <= at:
-            self.due[n] = at
+        if not self.fleet.now <= self.tick_due_at[n] <= at:
+            self.tick_due_at[n] = at
             self.fleet._at(at, self._tick, n)
 
     def _tick(self, n):
-        fleet, until = self.fleet, self.fleet.hosts[n].until
-        if until > fleet.now:
-            self.due[n] = until
-            fleet._at(until, self._tick, n)
+        fleet, paused_until = self.fleet, self.fleet.hosts[n].paused_until
+        if paused_until > fleet.now:
+            self.tick_due_at[n] = paused_until
+            fleet._at(paused_until, self._tick, n)
             return
         if self.shares[n].next_at() <= fleet.now:
             self._send(n, self.shares[n].tick(fleet.now))
-            self._tell(n)
-        self.due[n] = -1
-        self._arm(n)
+            self._schedule_events(n)
+        self.tick_due_at[n] = -1
+        self._schedule_tick(n)
 
-    # ---- what is measured ----
+    # ---- measurements ----
 
     def over(self):
-        """(most by which the retries of a window were over its bound, when, server)."""
+        """(largest number of retries over the bound of a window, when, server)."""
         rows = zip(self.firsts, self.retries, strict=True)
         return max((measure.worst_excess(f, r) + (s,) for s, (f, r) in enumerate(rows)), default=(0, 0, 0))
 
     def use(self, server, since_us, until_us):
-        """Retries beside what the bound allows, over a span."""
+        """Retries as a fraction of what the bound allows, over a span."""
         return measure.budget_use(self.firsts[server], self.retries[server], since_us, until_us)
--- a/thorndale/emulator/ways.py
+++ b/thorndale/emulator/ways.py
@@ -1,132 +1,137 @@
-"""Ways of choosing among the servers of a pool, to hold the module's own against: baselines for the bench alone.
+"""Server selection policies within a pool: baselines to compare the module's round robin with, used by the bench only.
 
-Each is the very module with the order of one pool's servers replaced; guards, budget, pools and all else stay.
-`module(way, seed, settings, number, servers)` makes one; `servers` are the emulator's, for the oracle alone.
+Each is the decision module with the order of one pool's servers replaced; its other rules, such as the retry budget
+and the choice of pools, are unchanged.
+
+`make_module(way, seed, settings, number, servers)` creates one. `servers` are the emulated servers, which
+only the oracle reads.
 """
 
 from thorndale.policy import Proxy
 
-SUBSET = 3  # servers of a pool that a proxy keeps to, where it keeps to some
+SUBSET_SIZE = 3  # servers of a pool that a proxy prefers under Subset
 
 
-class _Way(Proxy):
+class _SelectionPolicy(Proxy):
     def _charge_turn(self, s, fit):
         pass
 
-    def _drawn(self, servers):
-        """All of them, in an order drawn by a fresh key for each."""
+    def _shuffled(self, servers):
+        """The servers in random order."""
         return sorted(servers, key=lambda s: self._random())
 
 
-class ListOrder(_Way):
-    """The order of the list: what the module did before it dealt."""
+class ListOrder(_SelectionPolicy):
+    """The order of the server list, which the module used before it had a round robin."""
 
     def _round_robin(self, pool):
         return self.by_pool.get(pool, ())
 
 
-class Even(_Way):
-    """Drawn evenly."""
+class RandomOrder(_SelectionPolicy):
+    """A uniformly random server."""
 
     def _round_robin(self, pool):
-        return self._drawn(self.by_pool.get(pool, ()))
+        return self._shuffled(self.by_pool.get(pool, ()))
 
 
-class TwoOwn(_Way):
-    """Two drawn, the better by own calls out (Mitzenmacher 2001; Vvedenskaya, Dobrushin and Karpelevich 1996)."""
+class TwoByOwnCalls(_SelectionPolicy):
+    """Of two random servers, the one with fewer own calls in flight (Mitzenmacher 2001; Vvedenskaya, Dobrushin and
+    Karpelevich 1996)."""
 
     def _round_robin(self, pool):
-        drawn = self._drawn(self.by_pool.get(pool, ()))
-        return sorted(drawn[:2], key=lambda s: len(self.in_flight[s])) + drawn[2:]
+        shuffled = self._shuffled(self.by_pool.get(pool, ()))
+        return sorted(shuffled[:2], key=lambda s: len(self.in_flight[s])) + shuffled[2:]
 
 
-class TwoTold(_Way):
-    """Two drawn, the better by the wait last told (Mitzenmacher 2000 on old information)."""
+class TwoByReportedWait(_SelectionPolicy):
+    """Of two random servers, the one with the shorter last reported queueing delay (Mitzenmacher 2000 on old
+    information)."""
 
     def _round_robin(self, pool):
-        drawn = self._drawn(self.by_pool.get(pool, ()))
-        return sorted(drawn[:2], key=self._told) + drawn[2:]
+        shuffled = self._shuffled(self.by_pool.get(pool, ()))
+        return sorted(shuffled[:2], key=self._reported_wait) + shuffled[2:]
 
-    def _told(self, s):
+    def _reported_wait(self, s):
         return self.last_report[s].wait_us if self.last_report[s] else 0
 
 
-class LeastTold(TwoTold):
-    """The least told wait of all: the known herd."""
+class LeastReportedWait(TwoByReportedWait):
+    """The server with the least reported queueing delay of all. All proxies herd to it until the next report."""
 
     def _round_robin(self, pool):
-        return sorted(self._drawn(self.by_pool.get(pool, ())), key=self._told)
+        return sorted(self._shuffled(self.by_pool.get(pool, ())), key=self._reported_wait)
 
 
-class Drawn(_Way):
-    """Drawn by the learned shares, each call alone."""
+class WeightedRandom(_SelectionPolicy):
+    """A random server by the learned weights, independently for each call."""
 
     def _round_robin(self, pool):
         servers = self.by_pool.get(pool, ())
         return sorted(servers, key=lambda s: -(max(self._random(), 1e-9) ** (1 / self.weight[s])))
 
 
-class Dealt(Proxy):
-    """Dealt, as the module does, but without learning shares."""
+class EqualRoundRobin(Proxy):
+    """The module's round robin without learned weights."""
 
     def _update_weight(self, s, wait):
         pass
 
 
 class Subset(Proxy):
-    """Dealt among a few servers of the pool, which differ from proxy to proxy and cover all evenly: in rounds of as
-    many proxies as it takes, each round in an order of its own (Beyer et al., Site Reliability Engineering, 2016,
-    chapter 20). The others come after them."""
+    """Deterministic subsetting: round robin over a few servers of the pool, then over the others. The subsets differ by
+    proxy and cover the pool evenly: each round of proxies shares out one shuffled order of the servers (Beyer et al.,
+    Site Reliability Engineering, 2016, chapter 20)."""
 
     number = 0
 
     def _round_robin(self, pool):
         servers = self.by_pool.get(pool, ())
-        if len(servers) <= SUBSET:
+        if len(servers) <= SUBSET_SIZE:
             return super()._round_robin(pool)
-        places = len(servers) // SUBSET
+        places = len(servers) // SUBSET_SIZE
         rounds, place = divmod(self.number, places)
-        state, order = rounds * 2654435761 + 97, list(servers)
+        random_state, order = rounds * 2654435761 + 97, list(servers)
         for n in range(len(order) - 1, 0, -1):
-            state = (state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
-            other = (state >> 33) % (n + 1)
+            random_state = (random_state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
+            other = (random_state >> 33) % (n + 1)
             order[n], order[other] = order[other], order[n]
-        own = set(order[place * SUBSET : (place + 1) * SUBSET])
+        own = set(order[place * SUBSET_SIZE : (place + 1) * SUBSET_SIZE])
         return sorted(super()._round_robin(pool), key=lambda s: s not in own)
 
 
-class Queues(_Way):
-    """An oracle: the shortest true wait now, by the time a set-up takes there."""
+class ShortestQueue(_SelectionPolicy):
+    """An oracle: the shortest true delay now, queueing delay plus the time that a set-up takes there."""
 
     servers = ()
 
     def _round_robin(self, pool):
-        def until(s):
+        def expected_delay_us(s):
             processor = self.servers[s].processor
             work = processor.work.setup_us * processor.slowness / processor.warmth(self.now)
             return processor.wait(self.now) + work
 
-        return sorted(self._drawn(self.by_pool.get(pool, ())), key=until)
+        return sorted(self._shuffled(self.by_pool.get(pool, ())), key=expected_delay_us)
 
 
 WAYS = {
     "": Proxy,
     "list": ListOrder,
-    "even": Even,
-    "two own": TwoOwn,
-    "two told": TwoTold,
-    "least told": LeastTold,
-    "drawn": Drawn,
-    "dealt": Dealt,
+    "even": RandomOrder,
+    "two own": TwoByOwnCalls,
+    "two told": TwoByReportedWait,
+    "least told": LeastReportedWait,
+    "drawn": WeightedRandom,
+    "dealt": EqualRoundRobin,
     "subset": Subset,
-    "oracle": Queues,
+    "oracle": ShortestQueue,
 }
 
 
-def module(way, seed, settings, number, servers):
-    made = WAYS[way](seed, settings)
+def make_module(way, seed, settings, number, servers):
+    proxy_module = WAYS[way](seed, settings)
     if way == "subset":
-        made.number = number
+        proxy_module.number = number
     elif way == "oracle":
-        made.servers = servers
-    return made
+        proxy_module.servers = servers
+    return proxy_module
