--- a/bench/even.py
+++ b/bench/even.py
@@ -227,7 +227,9 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--kinds", default="")
     parser.add_argument("--before", default="")
-    parser.add_argument("--way", default="", help="proxies with this way of emulator/ways.py in place of the module's")
+    parser.add_argument(
+        "--way", default="", help="proxies with this way of emulator/selection.py in place of the module's"
+    )
     parser.add_argument("--out", default="")
     parser.add_argument("--png", default="")
     parser.add_argument("--unlike", action="store_true")
--- a/bench/members.py
+++ b/bench/members.py
@@ -10,7 +10,7 @@
 import time
 from multiprocessing import Pool
 
-from thorndale.emulator.gossip import Net, S, sound
+from thorndale.emulator.gossip import MembershipNetwork, S, healthy_link
 
 QUIET_S = 20  # seconds over which the steady cost is taken
 
@@ -19,11 +19,11 @@
     n, lose, seed = job
 
     def link(now, a, b, draw):
-        return [] if draw() < lose else sound(now, a, b, draw)
+        return [] if draw() < lose else healthy_link(now, a, b, draw)
 
     began = time.process_time()
-    net = Net(n, link, seed)
-    joined = net.until(lambda: net.agreed(range(n)), 180 * S)
+    net = MembershipNetwork(n, link, seed)
+    joined = net.run_until(lambda: net.agreed(range(n)), 180 * S)
     sent, size, cpu, at = net.sent, net.bytes, time.process_time(), net.now
     net.run(at + QUIET_S * S)
     cost = (time.process_time() - cpu) / n / QUIET_S
@@ -31,9 +31,10 @@
     net.kill(n // 2)
     killed = net.now
     others = set(range(n)) - {n // 2}
-    known = net.until(lambda: all(n // 2 not in view for view in net.views(others).values()), 180 * S)
+    known = net.run_until(lambda: all(n // 2 not in view for view in net.views(others).values()), 180 * S)
     first = min(
-        (at for at, _, member, what, _ in net.said if member == n // 2 and what == "dead" and at > killed), default=None
+        (at for at, _, member, what, _ in net.state_changes if member == n // 2 and what == "dead" and at > killed),
+        default=None,
     )
     return {
         "members": n,
@@ -43,11 +44,11 @@
         "grams_per_s": round(grams, 2),
         "bytes_per_s": round(bytes_),
         "mean_bytes": round(net.bytes / net.sent),
-        "most_bytes": net.most,
+        "most_bytes": net.max_datagram_bytes,
         "cpu_part": round(cost, 5),
         "first_dead_s": None if first is None else round((first - killed) / S, 1),
         "all_dead_s": known,
-        "falsely_dead": sum(1 for s in net.said if s[3] == "dead" and s[2] != n // 2),
+        "falsely_dead": sum(1 for s in net.state_changes if s[3] == "dead" and s[2] != n // 2),
         "cpu_s": round(time.process_time() - began, 1),
     }
 
--- a/bench/scale/budgets.py
+++ b/bench/scale/budgets.py
@@ -11,7 +11,7 @@
 from multiprocessing import Pool
 
 from bench.scale import limits, report, target
-from thorndale.emulator.day import Day, S, Trouble
+from thorndale.emulator.day import Day, S, ScenarioEvent
 from thorndale.emulator.fleet import Fleet
 
 SIZES = (8, 16, 24, 37)
@@ -26,13 +26,13 @@
         length_us=LENGTH_S * S,
         proxies=size,
         servers=(size,),
-        together=True,
+        one_pool_per_site=True,
         policy="plain",
         calls=target.PROXY_PER_S * size,
         outside=(0.0,),
-        troubles=(Trouble(FAILS_S * S, "errors", servers=frozenset(range(size)), factor=FAILING_PART),),
+        scenario_events=(ScenarioEvent(FAILS_S * S, "errors", servers=frozenset(range(size)), factor=FAILING_PART),),
         redials=0,
-        share=share,
+        peer_exchange=share,
     )
 
 
@@ -46,15 +46,15 @@
     began = time.process_time()
     bare.run()
     alone = time.process_time() - began
-    sharing = fleet.sharing
-    used = [sharing.use(server, (LENGTH_S - 10) * S, LENGTH_S * S) for server in range(size)]
+    peer_network = fleet.peer_network
+    used = [peer_network.budget_fraction_used(server, (LENGTH_S - 10) * S, LENGTH_S * S) for server in range(size)]
     return {
         "size": size,
         "seed": seed,
-        "datagrams_per_s": round(sharing.sent / size / LENGTH_S, 2),
-        "bytes_per_s": round(sharing.bytes / size / LENGTH_S),
+        "datagrams_per_s": round(peer_network.sent / size / LENGTH_S, 2),
+        "bytes_per_s": round(peer_network.bytes / size / LENGTH_S),
         "core_part": round((spent - alone) / size / LENGTH_S, 5),
-        "over_bound": sharing.over()[0],
+        "over_bound": peer_network.worst_budget_excess()[0],
         "use_least": round(min(used), 3),
         "use_mean": round(statistics.mean(used), 3),
         "breaks": played.breaks,
--- a/bench/scale/decisions.py
+++ b/bench/scale/decisions.py
@@ -12,7 +12,7 @@
 
 from bench.scale import report, target
 from thorndale import interface as io
-from thorndale.emulator.day import S, Type
+from thorndale.emulator.day import CallType, S
 from thorndale.emulator.settings import module_settings
 from thorndale.policy import Proxy
 from thorndale.standins.processor import Work
@@ -22,7 +22,7 @@
 CALLS = 300
 
 
-TYPE = Type(1.0, 1_200_000, 9_000_000, 5_000_000, 1.0, 0.25)
+TYPE = CallType(1.0, 1_200_000, 9_000_000, 5_000_000, 1.0, 0.25)
 
 
 def listed_servers(listed, in_service):
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -17,9 +17,9 @@
 from multiprocessing import Pool
 
 from bench.spread import S, base, faulty
-from thorndale.emulator.day import Trouble
+from thorndale.emulator.day import ScenarioEvent
 from thorndale.emulator.fleet import Fleet
-from thorndale.emulator.sharing import Between
+from thorndale.emulator.peer_network import PeerLinkFault
 from thorndale.fleet import wire
 from thorndale.fleet.wire import FailureReport
 
@@ -30,7 +30,7 @@
 
 def counts(fleet, part):
     total = {}
-    for share in fleet.sharing.shares if fleet.sharing else ():
+    for share in fleet.peer_network.exchanges if fleet.peer_network else ():
         for name, n in getattr(share, part).count.items() if getattr(share, part) else ():
             total[name] = total.get(name, 0) + n
     return total
@@ -39,7 +39,7 @@
 def dead(job):
     n, share, kind, seed = job
     day = base(seed, "", n, 75, False)._replace(
-        share=share, troubles=(Trouble(AT * S, kind, servers=frozenset({3}), told=False),)
+        peer_exchange=share, scenario_events=(ScenarioEvent(AT * S, kind, servers=frozenset({3}), announced=False),)
     )
     fleet = Fleet(day)
     played = fleet.run()
@@ -56,7 +56,7 @@
         "lost_until_avoided": sum(row[AT : AT + avoided]),
         "avoided_s": avoided,
         "lost_in_45_s": sum(row[AT:]),
-        "revenue": round(played.share(), 4),
+        "revenue": round(played.earned_fraction(), 4),
         "breaks": played.breaks,
         "words": counts(fleet, "words"),
     }
@@ -64,7 +64,7 @@
 
 def liar(fleet):
     """Says with each message that every server has just lost a set-up of its own."""
-    ids = fleet.sharing.shares[0].words.servers
+    ids = fleet.peer_network.exchanges[0].words.servers
 
     def lie(now, out):
         return [
@@ -91,14 +91,14 @@
 
 def slander(job):
     n, liars, seed = job
-    fleet = Fleet(base(seed, "", n, 60, False)._replace(share=BOTH))
-    fleet.sharing.liars = dict.fromkeys(range(liars), liar(fleet))
+    fleet = Fleet(base(seed, "", n, 60, False)._replace(peer_exchange=BOTH))
+    fleet.peer_network.falsifiers = dict.fromkeys(range(liars), liar(fleet))
     played = fleet.run()
     return {
         "proxies": n,
         "liars": liars,
         "seed": seed,
-        "revenue": round(played.share(), 5),
+        "revenue": round(played.earned_fraction(), 5),
         "rejected": played.rejected,
         "p99_ms": played.waits_us[int(len(played.waits_us) * 0.99)] / 1000,
         "breaks": played.breaks,
@@ -110,51 +110,54 @@
     n, share, cut, seed = job
     half = frozenset(range(n // 2))
     day = base(seed, "", n, 80, False)._replace(
-        share=share,
-        troubles=(Trouble(15 * S, "errors", servers=frozenset(range(24)), factor=0.2),),
-        between=(Between(30 * S, 60 * S, half, frozenset(range(n))),) if cut else (),
+        peer_exchange=share,
+        scenario_events=(ScenarioEvent(15 * S, "errors", servers=frozenset(range(24)), factor=0.2),),
+        peer_links=(PeerLinkFault(30 * S, 60 * S, half, frozenset(range(n))),) if cut else (),
     )
     fleet = Fleet(day)
     if not share:  # counted all the same
         return {"proxies": n, "share": "", "cut": cut, "seed": seed, **alone(fleet)}
     played = fleet.run()
-    sharing = fleet.sharing
-    used = [sharing.use(s, (40 if cut else 30) * S, (60 if cut else 80) * S) for s in range(24)]
+    peer_network = fleet.peer_network
+    used = [peer_network.budget_fraction_used(s, (40 if cut else 30) * S, (60 if cut else 80) * S) for s in range(24)]
     return {
         "proxies": n,
         "share": share,
         "cut": cut,
         "seed": seed,
-        "over": sharing.over()[0],
+        "over": peer_network.worst_budget_excess()[0],
         "use_least": round(min(used), 3),
         "use_mean": round(statistics.mean(used), 3),
-        "revenue": round(played.share(), 4),
+        "revenue": round(played.earned_fraction(), 4),
         "breaks": played.breaks,
         "rights": counts(fleet, "rights"),
     }
 
 
 class Counting:
-    """Stands where a Sharing would: counts what comes to the servers, tells nobody anything."""
+    """Stands where a PeerNetwork would: counts what comes to the servers, tells nobody anything."""
 
     def __init__(self, fleet):
-        from thorndale.emulator.sharing import Sharing
+        from thorndale.emulator.peer_network import PeerNetwork
 
-        self.firsts, self.retries = [[] for _ in fleet.servers], [[] for _ in fleet.servers]
+        self.first_setups, self.retries = [[] for _ in fleet.servers], [[] for _ in fleet.servers]
         self.fleet, self.odds_before, self.record_seizure = fleet, lambda *_: (), lambda *_: None
-        self.arrived = Sharing.arrived.__get__(self)
-        self.over, self.use = Sharing.over.__get__(self), Sharing.use.__get__(self)
+        self.record_setup = PeerNetwork.record_setup.__get__(self)
+        self.worst_budget_excess, self.budget_fraction_used = (
+            PeerNetwork.worst_budget_excess.__get__(self),
+            PeerNetwork.budget_fraction_used.__get__(self),
+        )
 
 
 def alone(fleet):
-    fleet.sharing = Counting(fleet)
+    fleet.peer_network = Counting(fleet)
     played = fleet.run()
-    used = [fleet.sharing.use(s, 30 * S, 80 * S) for s in range(24)]
+    used = [fleet.peer_network.budget_fraction_used(s, 30 * S, 80 * S) for s in range(24)]
     return {
-        "over": fleet.sharing.over()[0],
+        "over": fleet.peer_network.worst_budget_excess()[0],
         "use_least": round(min(used), 3),
         "use_mean": round(statistics.mean(used), 3),
-        "revenue": round(played.share(), 4),
+        "revenue": round(played.earned_fraction(), 4),
         "breaks": played.breaks,
         "rights": {},
     }
@@ -165,40 +168,42 @@
     day, kind, at, _ = faulty(seed, "")
     if how == SHARED and seed % 4 == 1:  # half of the fleet hears nothing for a while
         half = frozenset(range(day.proxies // 2))
-        day = day._replace(between=(Between((at - 5) * S, (at + 20) * S, half, frozenset(range(day.proxies))),))
+        day = day._replace(
+            peer_links=(PeerLinkFault((at - 5) * S, (at + 20) * S, half, frozenset(range(day.proxies))),)
+        )
     if how == DEAF:
         every = frozenset(range(day.proxies))
-        day = day._replace(between=(Between(0, 1 << 60, every, every),))
-    fleet = Fleet(day._replace(share="" if how == ALONE else BOTH))
+        day = day._replace(peer_links=(PeerLinkFault(0, 1 << 60, every, every),))
+    fleet = Fleet(day._replace(peer_exchange="" if how == ALONE else BOTH))
     played = fleet.run()
     return {
         "seed": seed,
         "how": how,
         "kind": kind,
-        "revenue": round(played.share(), 5),
+        "revenue": round(played.earned_fraction(), 5),
         "breaks": played.breaks,
-        "over": fleet.sharing.over()[0] if fleet.sharing else None,
+        "over": fleet.peer_network.worst_budget_excess()[0] if fleet.peer_network else None,
     }
 
 
 def cost(job):
     n, seed = job
-    day = base(seed, "", n, 60, False, rate=3.0 * n)._replace(share=BOTH)
+    day = base(seed, "", n, 60, False, rate=3.0 * n)._replace(peer_exchange=BOTH)
     fleet = Fleet(day)
     began = time.process_time()
     fleet.run()
     spent = time.process_time() - began
-    bare = Fleet(day._replace(share=""))
+    bare = Fleet(day._replace(peer_exchange=""))
     began = time.process_time()
     bare.run()
     spent -= time.process_time() - began
-    sharing = fleet.sharing
+    peer_network = fleet.peer_network
     return {
         "proxies": n,
         "seed": seed,
-        "grams_per_s": round(sharing.sent / n / 60, 2),
-        "bytes_per_s": round(sharing.bytes / n / 60),
-        "mean_bytes": round(sharing.bytes / sharing.sent),
+        "grams_per_s": round(peer_network.sent / n / 60, 2),
+        "bytes_per_s": round(peer_network.bytes / n / 60),
+        "mean_bytes": round(peer_network.bytes / peer_network.sent),
         "core_part": round(spent / n / 60, 5),
     }
 
--- a/bench/sites.py
+++ b/bench/sites.py
@@ -13,13 +13,13 @@
 import time
 from multiprocessing import Pool
 
-from thorndale.emulator.draw import drawn
 from thorndale.emulator.fleet import Fleet
+from thorndale.emulator.random_day import random_day
 
 
 def play(job):
     seed, policy, proxies, calls, servers = job
-    day, case = drawn(seed, proxies=proxies, calls=calls, servers=servers)
+    day, case = random_day(seed, proxies=proxies, calls=calls, servers=servers)
     began = time.perf_counter()
     played = Fleet(day._replace(policy=policy)).run()
     wall = time.perf_counter() - began
@@ -29,11 +29,11 @@
         "policy": policy,
         "case": case,
         "proxies": proxies,
-        "share": round(played.share(), 4),
-        "lost": min(t.site for t in day.troubles if t.kind != "burst"),
-        "own": [round(o, 4) for o in played.own],
+        "share": round(played.earned_fraction(), 4),
+        "lost": min(t.site for t in day.scenario_events if t.kind != "burst"),
+        "own": [round(o, 4) for o in played.earned_by_origin],
         "of_allowed": [round(e / max(a, 1e-9), 3) for e, a in zip(played.earned, played.allowed, strict=True)],
-        "longest_ms": max(max(site) for site in played.longest_us) // 1000,
+        "longest_ms": max(max(site) for site in played.longest_wait_us) // 1000,
         "breaks": played.breaks,
         "swing": max(swing),
         "spilled": max(played.spilled),
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -15,9 +15,9 @@
 from multiprocessing import Pool
 from random import Random
 
-from thorndale.emulator.day import Day, Link, S, Trouble
+from thorndale.emulator.day import Day, LinkFault, S, ScenarioEvent
 from thorndale.emulator.fleet import WORK, Fleet
-from thorndale.emulator.ways import WAYS
+from thorndale.emulator.selection import SELECTION_POLICIES
 from thorndale.spread import measure
 
 POOLS, EACH = 4, 6
@@ -39,14 +39,14 @@
         calls=rate,
         outside=(0.0,) * pools,
         policy="plain",
-        together=True,
+        one_pool_per_site=True,
         sizes=tuple(s * scale for s in sizes),
         lines=2000,
-        way=way,
-        unequal=proxies > 3,
+        selection=way,
+        unequal_proxies=proxies > 3,
         start_us=S if proxies > 1 else 0,
-        own_us=6_000,
-        cross_us=6_000,
+        own_site_delay_us=6_000,
+        cross_site_delay_us=6_000,
     )
 
 
@@ -70,7 +70,7 @@
         "most": round(found.most, 3),
         "idle": len(found.idle),
         "peak": round(found.peak, 3),
-        "share": round(played.share(), 4),
+        "share": round(played.earned_fraction(), 4),
         "p50_ms": waits[len(waits) // 2] / 1000,
         "p99_ms": waits[int(len(waits) * 0.99)] / 1000,
         "breaks": played.breaks,
@@ -114,44 +114,60 @@
     one = frozenset(chance.sample(range(POOLS * EACH), 1))
     every, all_ = frozenset(range(proxies)), frozenset(range(POOLS * EACH))
     end, until = (at + 15) * S, (at + 12) * S
-    troubles, links = (), ()
+    scenario_events, links = (), ()
     if kind in ("reports late", "reports lost"):
         links = (
-            Link(at * S, end, third, all_, lose=1.0 if kind.endswith("lost") else 0.0, delay_us=8 * S, reports=True),
+            LinkFault(
+                at * S, end, third, all_, lose=1.0 if kind.endswith("lost") else 0.0, delay_us=8 * S, reports=True
+            ),
         )
     elif kind in ("cut out", "cut back"):
-        links = (Link(at * S, end, third, one, kind[4:]),)
+        links = (LinkFault(at * S, end, third, one, kind[4:]),)
     elif kind == "leaves and comes":
         other = frozenset({(next(iter(one)) + 1) % (POOLS * EACH)})
-        troubles = (
-            Trouble(10 * S, "join", servers=other, told=True),
-            Trouble(at * S, "killed", servers=one, late_us=3 * S),
-            Trouble(until, "restart", servers=one),
+        scenario_events = (
+            ScenarioEvent(10 * S, "join", servers=other, announced=True),
+            ScenarioEvent(at * S, "killed", servers=one, late_us=3 * S),
+            ScenarioEvent(until, "restart", servers=one),
         )
     elif kind == "errors":
-        troubles = (Trouble(at * S, "errors", servers=one), Trouble(end, "errors", servers=one, factor=0.0))
+        scenario_events = (
+            ScenarioEvent(at * S, "errors", servers=one),
+            ScenarioEvent(end, "errors", servers=one, factor=0.0),
+        )
     elif kind == "at once":
         day = day._replace(start_us=S // 10)
     elif kind == "burst and back":
-        troubles = (
-            Trouble((at - 8) * S, "killed", servers=one),
-            Trouble(at * S, "restart", servers=one),
-            Trouble(at * S, "burst", factor=1.3),
-            Trouble((at + 8) * S, "burst", factor=1.0),
+        scenario_events = (
+            ScenarioEvent((at - 8) * S, "killed", servers=one),
+            ScenarioEvent(at * S, "restart", servers=one),
+            ScenarioEvent(at * S, "burst", factor=1.3),
+            ScenarioEvent((at + 8) * S, "burst", factor=1.0),
         )
     elif kind == "stopped":
-        troubles = (Trouble(at * S, "stall", proxies=third, span_us=3 * S),)
+        scenario_events = (ScenarioEvent(at * S, "stall", proxies=third, span_us=3 * S),)
     elif kind == "swap":
-        troubles = (Trouble(at * S, "sizes"),)
+        scenario_events = (ScenarioEvent(at * S, "sizes"),)
     elif kind == "slow":
-        troubles = (Trouble(at * S, "slow", servers=one, factor=3.0), Trouble(end, "slow", servers=one, factor=1.0))
+        scenario_events = (
+            ScenarioEvent(at * S, "slow", servers=one, factor=3.0),
+            ScenarioEvent(end, "slow", servers=one, factor=1.0),
+        )
     elif kind == "hangs":
-        troubles = (Trouble(at * S, "dark", servers=one, told=False), Trouble(until, "back", servers=one, told=False))
+        scenario_events = (
+            ScenarioEvent(at * S, "dark", servers=one, announced=False),
+            ScenarioEvent(until, "back", servers=one, announced=False),
+        )
     elif kind == "few":
         few = chance.choice((EACH * POOLS - 1, EACH * POOLS + 1, 5))
-        day = day._replace(proxies=few, unequal=False)
+        day = day._replace(proxies=few, unequal_proxies=False)
         every = frozenset(range(few))
-    return day._replace(troubles=tuple(sorted(troubles, key=lambda t: t.at_us)), links=links), kind, at, every
+    return (
+        day._replace(scenario_events=tuple(sorted(scenario_events, key=lambda t: t.at_us)), links=links),
+        kind,
+        at,
+        every,
+    )
 
 
 def faults(job):
@@ -164,7 +180,7 @@
             own = [day.sizes[s] for s in pool]
             for s, size in zip(pool, own[1:] + own[:1], strict=True):
                 sizes[s] = size
-    touched = {s for t in day.troubles for s in t.servers} | {
+    touched = {s for t in day.scenario_events for s in t.servers} | {
         s for link in day.links if not link.reports for s in link.servers
     }
     sound = [[s for s in pool if s not in touched] for pool in pools]
@@ -228,13 +244,13 @@
     parser.add_argument("--out", default="")
     given = parser.parse_args()
     seeds = range(given.first, given.first + given.seeds)
-    chosen = [w for w in WAYS if not given.ways or (w or "module") in given.ways.split(",")]
+    chosen = [w for w in SELECTION_POLICIES if not given.ways or (w or "module") in given.ways.split(",")]
     with Pool(given.cores) as pool:
         if given.what == "ways":
             jobs = [(s, w, given.proxies, given.unlike, given.seconds) for s in seeds for w in chosen]
             rows = pool.map(ways, jobs, chunksize=1)
             show(rows, ("unlike", "way"), ("variance", "least", "most", "idle", "peak", "p50_ms", "p99_ms", "share"))
-            for against in WAYS:
+            for against in SELECTION_POLICIES:
                 if against:
                     print()
                     paired(rows, ("variance", "p99_ms", "share"), against)
--- a/bench/way.py
+++ b/bench/way.py
@@ -7,8 +7,8 @@
 
 from thorndale.call import decision
 from thorndale.daemon.start import main
-from thorndale.emulator.ways import WAYS
+from thorndale.emulator.selection import SELECTION_POLICIES
 
 if __name__ == "__main__":
-    decision.Proxy = WAYS[sys.argv[1]]
+    decision.Proxy = SELECTION_POLICIES[sys.argv[1]]
     sys.exit(main(sys.argv[3]))
--- a/tests/emulator/test_chains.py
+++ b/tests/emulator/test_chains.py
@@ -159,12 +159,12 @@
     before = Chain(plan).play()
     after = Chain(plan._replace(origin_marked=True)).play()
     assert not before.breaks and not after.breaks
-    assert after.stood_part() > 0.88 and after.stood_part() > before.stood_part()
+    assert after.answered_fraction() > 0.88 and after.answered_fraction() > before.answered_fraction()
     assert sum(after.refused_at[:-1]) <= 0.01 * after.offered
 
 
 def test_sixteen_hops_carry_what_one_does():
     plan = ChainPlan(16, 0.7, length_us=16 * S, settle_us=3 * S, reports=False, origin_marked=True)
     result = Chain(plan).play()
-    assert not result.breaks and result.stood_part() > 0.98
+    assert not result.breaks and result.answered_fraction() > 0.98
     assert max(result.setups_at) < 1.1 * result.offered
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from thorndale.emulator.gossip import Net, S, sound
+from thorndale.emulator.gossip import MembershipNetwork, S, healthy_link
 from thorndale.fleet import wire
 from thorndale.fleet.members import ALIVE, DEAD, PROBE_PERIOD_US, SUSPECT, Members
 
 
 def joined(n, **given):
-    net = Net(n, **given)
-    took = net.until(lambda: net.agreed(range(n)), 60 * S)
+    net = MembershipNetwork(n, **given)
+    took = net.run_until(lambda: net.agreed(range(n)), 60 * S)
     assert took is not None
     return net, took
 
 
 def falsely_dead(net, gone=()):
-    return [said for said in net.said if said[3] == "dead" and said[2] not in gone]
+    return [said for said in net.state_changes if said[3] == "dead" and said[2] not in gone]
 
 
 @pytest.mark.parametrize("n", [2, 5, 40])
@@ -26,26 +26,26 @@
     assert took < 12
     sent, at = net.sent, net.now
     net.run(at + 20 * S)
-    assert 1.5 < (net.sent - sent) / n / 20 < 2.5 and net.most < 256  # independent of n
+    assert 1.5 < (net.sent - sent) / n / 20 < 2.5 and net.max_datagram_bytes < 256  # independent of n
     net.kill(1)
-    assert net.until(lambda: net.agreed(set(range(n)) - {1}), 60 * S) < 30
+    assert net.run_until(lambda: net.agreed(set(range(n)) - {1}), 60 * S) < 30
     assert not falsely_dead(net, (1,))
     net.start(1)
-    assert net.until(lambda: net.agreed(range(n)), 60 * S) < 20  # restarted as another process
-    assert n == 2 or any(said[3] == "begun anew" and said[2] == 1 for said in net.said)
+    assert net.run_until(lambda: net.agreed(range(n)), 60 * S) < 20  # restarted as another process
+    assert n == 2 or any(said[3] == "begun anew" and said[2] == 1 for said in net.state_changes)
 
 
 @pytest.mark.parametrize("lose", [0.1, 0.3])
 def test_after_message_loss_all_members_are_alive_again(lose):
     def link(now, a, b, draw):
-        return [] if draw() < lose else sound(now, a, b, draw)
+        return [] if draw() < lose else healthy_link(now, a, b, draw)
 
     net, _ = joined(20, link=link)
     net.run(net.now + 120 * S)
     wrong = len(falsely_dead(net))
     assert wrong <= (0 if lose < 0.2 else 40), wrong
-    net.link = sound
-    assert net.until(lambda: net.agreed(range(20)), 30 * S) is not None
+    net.link = healthy_link
+    assert net.run_until(lambda: net.agreed(range(20)), 30 * S) is not None
 
 
 def test_a_fleet_partitioned_for_half_a_minute_rejoins():
@@ -53,28 +53,28 @@
     cut = net.now
 
     def link(now, a, b, draw):
-        return [] if cut < now < cut + 30 * S and (a < 12) != (b < 12) else sound(now, a, b, draw)
+        return [] if cut < now < cut + 30 * S and (a < 12) != (b < 12) else healthy_link(now, a, b, draw)
 
     net.link = link
     net.run(cut + 30 * S)
     assert set(net.views(range(12)).values()) == {frozenset(range(12))}
     assert set(net.views(range(12, 24)).values()) == {frozenset(range(12, 24))}
-    assert net.until(lambda: net.agreed(range(24)), 60 * S) < 25
+    assert net.run_until(lambda: net.agreed(range(24)), 60 * S) < 25
 
 
 def test_a_member_cut_off_in_one_direction_stays_alive_through_indirect_probes():
     net, _ = joined(12)
     begun = net.now
-    net.link = lambda now, a, b, draw: [] if (a, b) == (3, 4) else sound(now, a, b, draw)
+    net.link = lambda now, a, b, draw: [] if (a, b) == (3, 4) else healthy_link(now, a, b, draw)
     net.run(begun + 60 * S)
     assert not falsely_dead(net)
     # Member 5 receives nothing, but its messages arrive.
-    net.link = lambda now, a, b, draw: [] if b == 5 else sound(now, a, b, draw)
+    net.link = lambda now, a, b, draw: [] if b == 5 else healthy_link(now, a, b, draw)
     net.run(net.now + 60 * S)
     mistaken = [k for k, view in net.views(set(range(12)) - {5}).items() if not view >= set(range(12)) - {5}]
     assert not mistaken  # it does not make the others consider live members dead
-    net.link = sound
-    assert net.until(lambda: net.agreed(range(12)), 60 * S) is not None
+    net.link = healthy_link
+    assert net.run_until(lambda: net.agreed(range(12)), 60 * S) is not None
 
 
 def test_late_duplicate_and_reordered_messages_change_nothing():
@@ -86,35 +86,35 @@
     assert not falsely_dead(net) and net.agreed(range(15))
     net.link = lambda now, a, b, draw: [3 * S]  # all three seconds late: members are suspected, but not dead for long
     net.run(net.now + 40 * S)
-    net.link = sound
-    assert net.until(lambda: net.agreed(range(15)), 30 * S) is not None
+    net.link = healthy_link
+    assert net.run_until(lambda: net.agreed(range(15)), 30 * S) is not None
 
 
 def test_a_stalled_member_declares_no_other_dead():
     net, _ = joined(20)
-    net.halt(7, 9 * S)
+    net.suspend(7, 9 * S)
     net.run(net.now + 9 * S)
-    said = len(net.said)
+    said = len(net.state_changes)
     net.run(net.now + 10 * S)
-    assert not [s for s in net.said[said:] if s[1] == 7 and s[3] == "dead"]  # it declares nobody dead
-    assert net.up[7].count["late"] and net.until(lambda: net.agreed(range(20)), 30 * S) is not None
+    assert not [s for s in net.state_changes[said:] if s[1] == 7 and s[3] == "dead"]  # it declares nobody dead
+    assert net.running[7].count["late"] and net.run_until(lambda: net.agreed(range(20)), 30 * S) is not None
 
 
 def test_six_of_eight_killed_at_once_and_a_rolling_restart_of_all():
     net, _ = joined(8)
     for k in range(6):
         net.kill(k)
-    assert net.until(lambda: net.agreed({6, 7}), 60 * S) < 30
+    assert net.run_until(lambda: net.agreed({6, 7}), 60 * S) < 30
     for k in range(6):
         net.start(k)
-    assert net.until(lambda: net.agreed(range(8)), 30 * S) is not None
+    assert net.run_until(lambda: net.agreed(range(8)), 30 * S) is not None
     for k in range(8):
-        net.send(k, net.up[k].leave(net.now))
+        net.send(k, net.running[k].leave(net.now))
         net.kill(k)
         net.run(net.now + 2 * S)
         net.start(k)
         net.run(net.now + S)
-    assert net.until(lambda: net.agreed(range(8)), 30 * S) is not None
+    assert net.run_until(lambda: net.agreed(range(8)), 30 * S) is not None
 
 
 def test_a_clock_that_went_back_an_hour_and_a_name_started_twice():
@@ -122,25 +122,27 @@
     net.kill(2)
     net.run(net.now + 5 * S)
     net.start(2, wall=-3600)  # below the incarnation that the others know
-    assert net.until(lambda: net.agreed(range(6)), 30 * S) is not None
-    first = net.up[3]
+    assert net.run_until(lambda: net.agreed(range(6)), 30 * S) is not None
+    first = net.running[3]
     net.start(3)  # the first process goes on: both send under one name
     net.run(net.now + 5 * S)
     datagram = first._make_datagram(wire.PROBE, 1, 0, 0)
     for k in range(20):
         net._arrive(3, k % 6 if k % 6 != 3 else 0, wire.encode(datagram))
         net.run(net.now + S)
-    assert any(s[3] == "named twice or begun anew" for s in net.said) or any(s[3] == "begun anew" for s in net.said)
-    assert net.until(lambda: net.agreed(range(6)), 30 * S) is not None
+    assert any(s[3] == "named twice or begun anew" for s in net.state_changes) or any(
+        s[3] == "begun anew" for s in net.state_changes
+    )
+    assert net.run_until(lambda: net.agreed(range(6)), 30 * S) is not None
 
 
 def test_a_faulty_reporter_cannot_remove_live_members():
     net, _ = joined(10)
-    faulty, rand = net.up[9], random.Random(3)
+    faulty, rand = net.running[9], random.Random(3)
     for _ in range(60):
         updates = [
             wire.MembershipUpdate(
-                net.up[0].ids[k],
+                net.running[0].ids[k],
                 rand.getrandbits(32),
                 faulty.incarnation[k] + rand.choice((0, 1, 99, 1 << 50)),
                 rand.choice((wire.DEAD, wire.SUSPECT, wire.LEFT)),
@@ -153,17 +155,17 @@
         for to in rand.sample(range(9), 3):
             net._arrive(9, to, wire.encode(false_datagram))
         net.run(net.now + S)
-    assert not falsely_dead(net) and sum(m.count["absurd"] for m in net.up) > 50
+    assert not falsely_dead(net) and sum(m.count["absurd"] for m in net.running) > 50
     assert all(view >= set(range(9)) for view in net.views(range(9)).values())
 
 
 def test_old_messages_replayed_after_a_restart_change_nothing():
     net, _ = joined(8)
-    old = [(to, wire.encode(datagram)) for to, datagram in net.up[2].leave(net.now)]
+    old = [(to, wire.encode(datagram)) for to, datagram in net.running[2].leave(net.now)]
     net.kill(2)
     net.run(net.now + 3 * S)
     net.start(2)
-    assert net.until(lambda: net.agreed(range(8)), 30 * S) is not None
+    assert net.run_until(lambda: net.agreed(range(8)), 30 * S) is not None
     for to, data in old * 3:
         net._arrive(2, to, data)
     net.run(net.now + 3 * S)
@@ -207,7 +209,7 @@
 
 def test_a_datagram_cut_at_every_byte_and_with_every_byte_changed_is_refused_or_in_bounds():
     net, _ = joined(6)
-    data = wire.encode(net.up[1]._make_datagram(wire.ACK, 5, 1, 0))
+    data = wire.encode(net.running[1]._make_datagram(wire.ACK, 5, 1, 0))
     for n in range(len(data)):
         with pytest.raises(wire.WireError):
             wire.decode(data[:n])
@@ -218,6 +220,6 @@
                 datagram = wire.decode(changed)
             except wire.WireError:
                 continue
-            net.up[0].receive(net.now, datagram, 1)
+            net.running[0].receive(net.now, datagram, 1)
     net.run(net.now + 20 * S)
     assert not falsely_dead(net) and net.agreed(range(6))
--- a/tests/fleet/test_peer_reports.py
+++ b/tests/fleet/test_peer_reports.py
@@ -3,9 +3,9 @@
 
 import pytest
 
-from thorndale.emulator.day import Day, S, Trouble
+from thorndale.emulator.day import Day, S, ScenarioEvent
 from thorndale.emulator.fleet import Fleet
-from thorndale.emulator.sharing import Between
+from thorndale.emulator.peer_network import PeerLinkFault
 from thorndale.fleet import wire
 from thorndale.fleet.peer_reports import (
     EXPIRY_US,
@@ -132,7 +132,7 @@
     assert 15 < trials < 50  # thirty expected in a minute, at random
 
 
-def day_of(share, troubles, **given):
+def day_of(share, scenario_events, **given):
     return Day(
         seed=4,
         length_us=40 * S,
@@ -141,11 +141,11 @@
         calls=120.0,
         outside=(0.0, 0.0),
         policy="plain",
-        together=True,
+        one_pool_per_site=True,
         lines=2000,
         sizes=(0.4,) * 8,
-        share=share,
-        troubles=troubles,
+        peer_exchange=share,
+        scenario_events=scenario_events,
         start_us=S,
         **given,
     )
@@ -158,13 +158,13 @@
 
 def test_with_reports_a_dead_server_costs_less_than_half_the_set_ups():
     # The server refuses set-ups and stays on the server list.
-    dead = (Trouble(15 * S, "killed", servers=frozenset({2}), told=False),)
+    dead = (ScenarioEvent(15 * S, "killed", servers=frozenset({2}), announced=False),)
     found = {}
     for share in ("", "rights words"):
         fleet = Fleet(day_of(share, dead))
         played = fleet.run()
         assert not played.breaks
-        found[share] = lost(fleet, 2, 16), played.share()
+        found[share] = lost(fleet, 2, 16), played.earned_fraction()
     assert found["rights words"][0] < 0.5 * found[""][0] and found["rights words"][1] > found[""][1] - 0.002, found
 
 
@@ -172,12 +172,12 @@
     found = {}
     for liars in (0, 4):
         fleet = Fleet(day_of("rights words", ()))
-        sharing = fleet.sharing
+        peer_network = fleet.peer_network
 
-        def falsify(now, outgoing, sharing=sharing):
+        def falsify(now, outgoing, peer_network=peer_network):
             falsified = []
             for to, datagram in outgoing:
-                ids = sharing.shares[0].words.servers
+                ids = peer_network.exchanges[0].words.servers
                 reports = [FailureReport(s, datagram.sender, 0, 0, False) for s in ids]
                 falsified.append(
                     (
@@ -198,20 +198,20 @@
                 )
             return falsified
 
-        sharing.liars = dict.fromkeys(range(liars), falsify)
+        peer_network.falsifiers = dict.fromkeys(range(liars), falsify)
         played = fleet.run()
         assert not played.breaks
-        found[liars] = played.share()
+        found[liars] = played.earned_fraction()
         if liars:
-            assert max(max(k.module_odds for k in share.words.states) for share in sharing.shares) >= 0
+            assert max(max(k.module_odds for k in share.words.states) for share in peer_network.exchanges) >= 0
     assert found[4] > found[0] - 0.01, found
 
 
 def test_a_fully_partitioned_fleet_performs_like_one_without_reports():
-    dead = (Trouble(15 * S, "dark", servers=frozenset({2}), told=False),)
+    dead = (ScenarioEvent(15 * S, "dark", servers=frozenset({2}), announced=False),)
     everybody = frozenset(range(40))
-    partitioned = Fleet(day_of("words", dead, between=(Between(0, 99 * S, everybody, everybody),)))
+    partitioned = Fleet(day_of("words", dead, peer_links=(PeerLinkFault(0, 99 * S, everybody, everybody),)))
     played = partitioned.run()
-    assert sum(share.words.count["heard"] for share in partitioned.sharing.shares) == 0
+    assert sum(share.words.count["heard"] for share in partitioned.peer_network.exchanges) == 0
     alone = Fleet(day_of("", dead))
-    assert played.share() > alone.run().share() - 0.01 and not played.breaks
+    assert played.earned_fraction() > alone.run().earned_fraction() - 0.01 and not played.breaks
--- a/tests/test_without_fleet.py
+++ b/tests/test_without_fleet.py
@@ -6,7 +6,7 @@
 from xxhash import xxh64
 
 from thorndale import interface as io
-from thorndale.emulator.day import Day, S, Trouble
+from thorndale.emulator.day import Day, S, ScenarioEvent
 from thorndale.emulator.fleet import Fleet
 from thorndale.module_host import ModuleHost
 
@@ -27,22 +27,27 @@
         calls=160.0,
         outside=(0.0, 0.0),
         policy="plain",
-        together=True,
-        own_us=3_000,
-        cross_us=9_000,
+        one_pool_per_site=True,
+        own_site_delay_us=3_000,
+        cross_site_delay_us=9_000,
     )
     one = frozenset({1})
     return {
-        "cold": day._replace(troubles=(Trouble(4 * S, "killed", servers=one), Trouble(8 * S, "restart", servers=one))),
+        "cold": day._replace(
+            scenario_events=(ScenarioEvent(4 * S, "killed", servers=one), ScenarioEvent(8 * S, "restart", servers=one))
+        ),
         "dead": day._replace(
-            troubles=(
-                Trouble(5 * S, "dark", servers=one, told=False),
-                Trouble(12 * S, "killed", servers=frozenset({4}), late_us=2 * S),
+            scenario_events=(
+                ScenarioEvent(5 * S, "dark", servers=one, announced=False),
+                ScenarioEvent(12 * S, "killed", servers=frozenset({4}), late_us=2 * S),
             )
         ),
-        "pressed": day._replace(calls=500.0, lines=400, together=False),
+        "pressed": day._replace(calls=500.0, lines=400, one_pool_per_site=False),
         "errors": day._replace(
-            troubles=(Trouble(5 * S, "errors", servers=one), Trouble(9 * S, "slow", servers=frozenset({3}), factor=4.0))
+            scenario_events=(
+                ScenarioEvent(5 * S, "errors", servers=one),
+                ScenarioEvent(9 * S, "slow", servers=frozenset({3}), factor=4.0),
+            )
         ),
     }[name]
 
--- a/thorndale/emulator/chain.py
+++ b/thorndale/emulator/chain.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from thorndale import interface as io
-from thorndale.emulator.day import S, Type
+from thorndale.emulator.day import CallType, S
 from thorndale.emulator.settings import RELEASE_US, module_settings
 from thorndale.module_host import ModuleHost
 from thorndale.policy import Proxy
@@ -47,8 +47,8 @@
     redials: int = 0
     origin_marked: bool = False
     types: tuple = (
-        Type(0.94, 1_200_000, 9_000_000, 5_000_000, 1.0, 0.25),
-        Type(0.06, 800_000, 6_000_000, 4_000_000, 6.0, 0.25),
+        CallType(0.94, 1_200_000, 9_000_000, 5_000_000, 1.0, 0.25),
+        CallType(0.06, 800_000, 6_000_000, 4_000_000, 6.0, 0.25),
     )
 
     def capacity(self):
@@ -71,10 +71,10 @@
     breaks: dict
     span_us: int
 
-    def stood_part(self):
+    def answered_fraction(self):
         return self.established / max(1, self.offered)
 
-    def used_part(self):
+    def used_fraction(self):
         """Fraction of one hop's capacity that was used for calls answered to their caller."""
         return self.established / (self.plan.capacity() * self.span_us / S)
 
--- a/thorndale/emulator/day.py
+++ b/thorndale/emulator/day.py
@@ -5,7 +5,7 @@
 S = 1_000_000
 
 
-class Type(NamedTuple):
+class CallType(NamedTuple):
     share: float
     target_us: int
     guard_us: int
@@ -14,7 +14,7 @@
     late_part: float
 
 
-class Trouble(NamedTuple):
+class ScenarioEvent(NamedTuple):
     """An event of the day. `kind` is one of:
 
     - 'dark': all servers of `site` stop answering
@@ -30,20 +30,20 @@
     - 'stall': `proxies` are suspended for `span_us`
 
     `servers`: affects only these instead of the whole site.
-    `told`: whether the server list announces it, `late_us` later than usual."""
+    `announced`: whether the server list announces it, `late_us` later than usual."""
 
     at_us: int
     kind: str
     site: int = 0
     factor: float = 1.0
-    told: bool = True
+    announced: bool = True
     servers: frozenset = frozenset()
     proxies: frozenset = frozenset()
     span_us: int = 0
     late_us: int = 0
 
 
-class Link(NamedTuple):
+class LinkFault(NamedTuple):
     """A faulty link between these proxies and servers from `at_us` to `until_us`. `direction`: 'out' (to the server),
     'back' or 'both'. The fraction `lose` of the messages is lost, the others arrive `delay_us` later. `reports`:
     affects load reports only."""
@@ -68,10 +68,10 @@
     `policy`: 'sites', 'none' (own site only), 'unbounded' (overflow without a limit), 'plain' (every site is open to
     every call, the module alone decides) or 'oracle' (places calls by the true state of all servers).
     `largest_proxy_fraction`: the fraction of all calls that proxy 0 receives, 0 for an equal one.
-    `together`: the servers of a site form one pool, otherwise each server is a pool of its own.
+    `one_pool_per_site`: the servers of a site form one pool, otherwise each server is a pool of its own.
     `sizes`: capacity of each server as a multiple of the model's.
-    `way`: how a server of a pool is selected (`ways.py`), empty for the module's own round robin.
-    `unequal`: some proxies receive several times the calls of others."""
+    `selection`: how a server of a pool is selected (`selection.py`), empty for the module's own round robin.
+    `unequal_proxies`: some proxies receive several times the calls of others."""
 
     seed: int = 1
     length_us: int = 120 * S
@@ -81,13 +81,13 @@
     calls: float = 400.0
     outside: tuple = (150.0, 150.0)
     policy: str = "sites"
-    troubles: tuple = ()
+    scenario_events: tuple = ()
     types: tuple = (
-        Type(0.94, 1_200_000, 9_000_000, 5_000_000, 1.0, 0.25),
-        Type(0.06, 800_000, 6_000_000, 4_000_000, 6.0, 0.25),
+        CallType(0.94, 1_200_000, 9_000_000, 5_000_000, 1.0, 0.25),
+        CallType(0.06, 800_000, 6_000_000, 4_000_000, 6.0, 0.25),
     )
-    own_us: int = 6_000
-    cross_us: int = 17_000
+    own_site_delay_us: int = 6_000
+    cross_site_delay_us: int = 17_000
     list_delay_us: tuple = (1_400_000, 4_700_000)  # from an event until the list announces it, drawn per proxy
     report_interval_us: int = 1_000_000
     patience_fraction: float = 0.35  # fraction of the guard time after which an attempt is given up
@@ -95,11 +95,11 @@
     redial_delay_us: int = 1_000_000
     largest_proxy_fraction: float = 0.0
     warm_up_us: int = 12_000_000
-    together: bool = False
+    one_pool_per_site: bool = False
     sizes: tuple = ()
     links: tuple = ()
-    way: str = ""
-    unequal: bool = False
+    selection: str = ""
+    unequal_proxies: bool = False
     start_us: int = 0  # each proxy starts at a random moment within it
-    share: str = ""  # between proxies: 'rights' (leases), 'words' (failure reports) or both; empty for none
-    between: tuple = ()  # faulty links between proxies (`sharing.Between`)
+    peer_exchange: str = ""  # between proxies: 'rights' (leases), 'words' (failure reports) or both; empty for none
+    peer_links: tuple = ()  # faulty links between proxies (`peer_network.PeerLinkFault`)
--- a/thorndale/emulator/fleet.py
+++ b/thorndale/emulator/fleet.py
@@ -6,9 +6,9 @@
 
 from thorndale import interface as io
 from thorndale.emulator.day import S
+from thorndale.emulator.peer_network import PeerNetwork
+from thorndale.emulator.selection import make_module
 from thorndale.emulator.settings import RELEASE_US, module_settings
-from thorndale.emulator.sharing import Sharing
-from thorndale.emulator.ways import make_module
 from thorndale.module_host import ModuleHost
 from thorndale.sites.router import SiteRouter
 from thorndale.sites.topology import expand_settings
@@ -22,18 +22,18 @@
 class DayResult(NamedTuple):
     """By windows of 10 s, over the calls first made in each: revenue `offered`, `earned`, and `allowed` by the capacity
     that is up.
-    `own`: by origin site, the fraction earned of what was offered.
+    `earned_by_origin`: by origin site, the fraction earned of what was offered.
     `spilled`: calls answered at another site than their own, per second.
-    `longest_us`: the longest queueing delay at a server's processor, per site and second.
+    `longest_wait_us`: the longest queueing delay at a server's processor, per site and second.
     `breaks`: counts of broken rules, by name. `calls`: all attempts of callers.
     `fallen`: servers that collapsed under load while cold."""
 
     offered: list
     earned: list
     allowed: list
-    own: list
+    earned_by_origin: list
     spilled: list
-    longest_us: list
+    longest_wait_us: list
     breaks: dict
     calls: int
     rejected: int
@@ -41,7 +41,7 @@
     setups: list  # set-ups that arrived, by server and second
     waits_us: list  # queueing delay of each set-up that reached a processor, sorted
 
-    def share(self):
+    def earned_fraction(self):
         return sum(self.earned) / max(1e-9, sum(self.offered))
 
 
@@ -128,10 +128,10 @@
             for _ in range(count):
                 number = len(self.servers)
                 size = day.sizes[number] if day.sizes else 1.0
-                self.servers.append(Server(number, site, day.lines, size, site if day.together else None))
+                self.servers.append(Server(number, site, day.lines, size, site if day.one_pool_per_site else None))
         self.pools = [sorted({s.pool for s in self.servers if s.site == site}) for site in range(len(day.servers))]
-        for trouble in day.troubles:
-            for server in self._affected_servers(trouble) if trouble.kind == "join" else ():
+        for scenario_event in day.scenario_events:
+            for server in self._affected_servers(scenario_event) if scenario_event.kind == "join" else ():
                 server.state, server.dead = io.GONE, True
         self.links = []  # the faulty links in force
         self.rate, self.calls, self.rejected, self.keys = day.calls, 0, 0, 0
@@ -142,18 +142,20 @@
         self.longest_waits = [[0] * seconds for _ in day.servers]
         self.breaks = {}
         self.setups, self.waits = [[0] * seconds for _ in self.servers], []
-        self.sharing = None
+        self.peer_network = None
         self.hosts = [self._host(n) for n in range(day.proxies)]
         self.weights = [h.weight for h in self.hosts]
-        if day.share:
-            self.sharing = Sharing(self, day.between, "rights" in day.share, "words" in day.share)
+        if day.peer_exchange:
+            self.peer_network = PeerNetwork(
+                self, day.peer_links, "rights" in day.peer_exchange, "words" in day.peer_exchange
+            )
 
     # ---- the proxies ----
 
     def settings(self):
         day = self.day
         pools = sorted({s.pool for s in self.servers})
-        rights = "rights" in day.share
+        rights = "rights" in day.peer_exchange
         return module_settings(day.types, WORK, day.proxies, pools, warm_up_us=day.warm_up_us, fleet_rights=rights)
 
     def sites(self):
@@ -167,9 +169,9 @@
         day, seed = self.day, self.rng.getrandbits(63)
         settings = self.settings()
         if day.policy in ("plain", "oracle"):
-            core = make_module(day.way, seed, settings, number, self.servers)
+            core = make_module(day.selection, seed, settings, number, self.servers)
         else:
-            core = make_module(day.way, seed, expand_settings(settings, self.sites()), number, self.servers)
+            core = make_module(day.selection, seed, expand_settings(settings, self.sites()), number, self.servers)
             core = SiteRouter(seed ^ 0x5DEECE66D, settings, self.sites(), core)
         equal = 1.0 / day.proxies
         weight = (
@@ -179,7 +181,7 @@
             if number == 0
             else (1 - day.largest_proxy_fraction) / (day.proxies - 1)
         )
-        if day.unequal:
+        if day.unequal_proxies:
             weight *= self.rng.choice((0.2, 0.5, 0.5, 1.0, 1.0, 1.0, 3.0))
         host = Host(core, weight, number % len(day.servers), number)
         host.module_host.add_event(
@@ -224,19 +226,19 @@
         if host.paused_until > self.now:
             self._at(host.paused_until, self._flush, host)
             return
-        sharing = self.sharing
+        peer_network = self.peer_network
         while module_host.events:
-            odds_before = sharing.odds_before(host, module_host.events) if sharing else ()
+            odds_before = peer_network.odds_before(host, module_host.events) if peer_network else ()
             actions = module_host.run_batch(self.now)
             if odds_before:
-                sharing.record_outcomes(host, odds_before)
+                peer_network.record_outcomes(host, odds_before)
             for action in actions:
                 kind = type(action)
                 if kind is io.RequestLease:
-                    sharing.request_lease(host, action)
+                    peer_network.request_lease(host, action)
                     continue
-                if kind is io.Seize and sharing:
-                    sharing.record_seizure(host, action)
+                if kind is io.Seize and peer_network:
+                    peer_network.record_seizure(host, action)
                 if kind is io.SetTimer:
                     self._at(max(action.at_us, self.now + 1), self._timer, host)
                 elif kind is not io.Log and kind is not io.SubscribeList:
@@ -253,7 +255,7 @@
             if self.now < attempt.released_at + RELEASE_US:
                 self._record_break("release not awaited")
             attempt.in_flight = attempt.seizures_sent, action.server
-            if self.sharing:
+            if self.peer_network:
                 attempt.first_setup = action.first
             attempt.seizures_sent += 1
             self._transmit(host, action.server, "out", self._on_setup, attempt, attempt.in_flight)
@@ -267,15 +269,15 @@
 
     def _link_delay_us(self, host, server):
         day = self.day
-        base = day.own_us if host.site == self.servers[server].site else day.cross_us
+        base = day.own_site_delay_us if host.site == self.servers[server].site else day.cross_site_delay_us
         return base * (0.9 + 0.4 * self.rng.random())
 
     # ---- seizures ----
 
     def _on_setup(self, attempt, seizure):
         server = self.servers[seizure[1]]
-        if self.sharing:
-            self.sharing.arrived(server.number, attempt.first_setup and not seizure[0], seizure[0] > 0)
+        if self.peer_network:
+            self.peer_network.record_setup(server.number, attempt.first_setup and not seizure[0], seizure[0] > 0)
         second = min(len(self.spilled) - 1, self.now // S)
         self.setups[server.number][second] += 1
         if server.unresponsive:
@@ -432,7 +434,7 @@
         day, kind = self.day, self.day.types[caller.kind]
         caller.attempts += 1
         self.calls += 1
-        uneven = day.largest_proxy_fraction or day.unequal
+        uneven = day.largest_proxy_fraction or day.unequal_proxies
         host = self.rng.choices(self.hosts, self.weights)[0] if uneven else self.rng.choice(self.hosts)
         attempt = Attempt(caller, host)
         attempt.began_at = self.now
@@ -522,17 +524,21 @@
         if host.paused_until <= self.now:
             self._flush(host)
 
-    def _affected_servers(self, trouble):
-        return [s for s in self.servers if (s.number in trouble.servers if trouble.servers else s.site == trouble.site)]
+    def _affected_servers(self, scenario_event):
+        return [
+            s
+            for s in self.servers
+            if (s.number in scenario_event.servers if scenario_event.servers else s.site == scenario_event.site)
+        ]
 
-    def _apply_event(self, trouble):
-        if trouble.kind == "burst":
-            self.rate = self.day.calls * trouble.factor
-        elif trouble.kind == "stall":
+    def _apply_event(self, scenario_event):
+        if scenario_event.kind == "burst":
+            self.rate = self.day.calls * scenario_event.factor
+        elif scenario_event.kind == "stall":
             for host in self.hosts:
-                if host.number in trouble.proxies:
-                    host.paused_until = self.now + trouble.span_us
-        elif trouble.kind == "sizes":
+                if host.number in scenario_event.proxies:
+                    host.paused_until = self.now + scenario_event.span_us
+        elif scenario_event.kind == "sizes":
             for pool in {s.pool for s in self.servers}:
                 among = [s for s in self.servers if s.pool == pool]
                 sizes = [s.size for s in among]
@@ -540,15 +546,15 @@
                     server.processor.slowness *= server.size / size
                     server.size = size
         else:
-            for server in self._affected_servers(trouble):
-                self._apply_to_server(server, trouble)
+            for server in self._affected_servers(scenario_event):
+                self._apply_to_server(server, scenario_event)
 
-    def _apply_to_server(self, server, trouble):
-        kind = trouble.kind
+    def _apply_to_server(self, server, scenario_event):
+        kind = scenario_event.kind
         if kind in ("dark", "killed"):
             server.unresponsive, server.dead = kind == "dark", kind == "killed"
             server.state = io.GONE
-            noticed = CUT_DETECTION_US if server.unresponsive else self.day.own_us
+            noticed = CUT_DETECTION_US if server.unresponsive else self.day.own_site_delay_us
             for attempt, seizure in list(server.established.items()):
                 self._after(noticed, self._on_call_ended, attempt, seizure, server, io.RESET)
             server.established, server.lines_in_use = {}, 0
@@ -558,13 +564,13 @@
             server.started = self.now if kind != "back" else server.started
             server.replace_processor(self.now, kind != "back")
         elif kind == "slow":
-            server.processor.slowness = trouble.factor / server.size
+            server.processor.slowness = scenario_event.factor / server.size
         elif kind == "cuts":
             server.cuts_calls = True
         elif kind == "errors":
-            server.error_fraction = trouble.factor
-        if trouble.told and kind in ("dark", "killed", "back", "restart", "join"):
-            self._announce(server, trouble.late_us)
+            server.error_fraction = scenario_event.factor
+        if scenario_event.announced and kind in ("dark", "killed", "back", "restart", "join"):
+            self._announce(server, scenario_event.late_us)
 
     def _set_link(self, link, on):
         self.links.append(link) if on else self.links.remove(link)
@@ -592,8 +598,8 @@
         self._at(0, self._add_allowed_revenue)
         for server in self.servers:
             self._at(int(self.rng.random() * day.report_interval_us), self._send_reports, server)
-        for trouble in day.troubles:
-            self._at(trouble.at_us, self._apply_event, trouble)
+        for scenario_event in day.scenario_events:
+            self._at(scenario_event.at_us, self._apply_event, scenario_event)
         for link in day.links:
             self._at(link.at_us, self._set_link, link, True)
             self._at(link.until_us, self._set_link, link, False)
--- a/thorndale/emulator/sharing.py
+++ b/thorndale/emulator/peer_network.py
@@ -1,9 +1,9 @@
 """Messages between the proxies of an emulated fleet: one FleetExchange per proxy, on links that lose, delay and
 duplicate messages.
 
-`Sharing(fleet, links, rights, words)`; `links` are `Between`.
+`PeerNetwork(fleet, links, rights, words)`; `links` are `PeerLinkFault`.
 A suspended proxy receives and does nothing until it resumes. Retries and first set-ups are recorded at the servers, to
-check them against the budget of each window: `over`, `use`.
+check them against the budget of each window: `worst_budget_excess`, `budget_fraction_used`.
 """
 
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 WALL_CLOCK_START_S = 1_800_000_000
 
 
-class Between(NamedTuple):
+class PeerLinkFault(NamedTuple):
     """A faulty link from `at_us` to `until_us`, for messages from proxies `a` to proxies `b`, and back where
     `bidirectional`. `lose` and `duplicate` are probabilities."""
 
@@ -35,12 +35,12 @@
         return a in self.a and b in self.b or self.bidirectional and b in self.a and a in self.b
 
 
-class Sharing:
+class PeerNetwork:
     def __init__(self, fleet, links=(), rights=True, words=True):
         self.fleet, self.links, self.rng = fleet, links, fleet.rng
         self.names = [f"proxy{n}" for n in range(len(fleet.hosts))]
         servers = [f"box{s.number}" for s in fleet.servers]
-        self.shares = [
+        self.exchanges = [
             FleetExchange(
                 self.names,
                 n,
@@ -54,17 +54,17 @@
             )
             for n in range(len(fleet.hosts))
         ]
-        self.tick_due_at = [0] * len(self.shares)
+        self.tick_due_at = [0] * len(self.exchanges)
         self.sent = self.bytes = 0
-        self.liars = {}  # by proxy: a function that falsifies its outgoing messages
-        self.firsts, self.retries = [[] for _ in servers], [[] for _ in servers]  # arrival times, by server
-        for n in range(len(self.shares)):
+        self.falsifiers = {}  # by proxy: a function that falsifies its outgoing messages
+        self.first_setups, self.retries = [[] for _ in servers], [[] for _ in servers]  # arrival times, by server
+        for n in range(len(self.exchanges)):
             self._schedule_tick(n)
 
     # ---- at a proxy ----
 
     def odds_before(self, host, events):
-        own_exchange = self.shares[host.number]
+        own_exchange = self.exchanges[host.number]
         for event in events:
             if type(event) is io.Servers:
                 for entry in event.entries:
@@ -75,23 +75,23 @@
         return getattr(host.core, "module", host.core)
 
     def record_outcomes(self, host, odds_before):
-        self.shares[host.number].record_outcomes(self.fleet.now, odds_before, self._module(host))
+        self.exchanges[host.number].record_outcomes(self.fleet.now, odds_before, self._module(host))
         self._schedule_tick(host.number)
 
     def record_seizure(self, host, action):
-        self.shares[host.number].record_seizure(self.fleet.now, action.server, action.first)
+        self.exchanges[host.number].record_seizure(self.fleet.now, action.server, action.first)
 
     def request_lease(self, host, action):
         n = host.number
-        self._send(n, self.shares[n].request_lease(self.fleet.now, action.call, action.server, action.resume_us))
+        self._send(n, self.exchanges[n].request_lease(self.fleet.now, action.call, action.server, action.resume_us))
         self._schedule_events(n)
         self._schedule_tick(n)
 
-    def arrived(self, server, first, retry):
+    def record_setup(self, server, first, retry):
         """Records a set-up at the server: a first set-up that the budget counts, a retry, or neither (the first seizure
         of a redial)."""
         if first:
-            self.firsts[server].append(self.fleet.now)
+            self.first_setups[server].append(self.fleet.now)
         elif retry:
             self.retries[server].append(self.fleet.now)
 
@@ -99,7 +99,7 @@
 
     def _send(self, n, outgoing):
         fleet = self.fleet
-        falsify = self.liars.get(n)
+        falsify = self.falsifiers.get(n)
         for to, datagram in falsify(fleet.now, outgoing) if falsify else outgoing:
             data = wire.encode(datagram)
             self.sent, self.bytes = self.sent + 1, self.bytes + len(data)
@@ -117,12 +117,12 @@
         if paused_until > fleet.now:
             fleet._at(paused_until, self._arrive, sender, to, data)
             return
-        self._send(to, self.shares[to].receive(fleet.now, wire.decode(data), sender))
+        self._send(to, self.exchanges[to].receive(fleet.now, wire.decode(data), sender))
         self._schedule_events(to)
         self._schedule_tick(to)
 
     def _schedule_events(self, n):
-        if self.shares[n].has_events():
+        if self.exchanges[n].has_events():
             self.fleet._after(0, self._deliver_events, n)
 
     def _deliver_events(self, n):
@@ -130,12 +130,12 @@
         if host.paused_until > self.fleet.now:
             self.fleet._at(host.paused_until, self._deliver_events, n)
             return
-        for event in self.shares[n].take_events():
+        for event in self.exchanges[n].take_events():
             host.module_host.add_event(event)
         self.fleet._flush(host)
 
     def _schedule_tick(self, n):
-        at = max(self.fleet.now, self.shares[n].next_at())
+        at = max(self.fleet.now, self.exchanges[n].next_at())
         if not self.fleet.now <= self.tick_due_at[n] <= at:
             self.tick_due_at[n] = at
             self.fleet._at(at, self._tick, n)
@@ -146,19 +146,19 @@
             self.tick_due_at[n] = paused_until
             fleet._at(paused_until, self._tick, n)
             return
-        if self.shares[n].next_at() <= fleet.now:
-            self._send(n, self.shares[n].tick(fleet.now))
+        if self.exchanges[n].next_at() <= fleet.now:
+            self._send(n, self.exchanges[n].tick(fleet.now))
             self._schedule_events(n)
         self.tick_due_at[n] = -1
         self._schedule_tick(n)
 
     # ---- measurements ----
 
-    def over(self):
+    def worst_budget_excess(self):
         """(largest number of retries over the bound of a window, when, server)."""
-        rows = zip(self.firsts, self.retries, strict=True)
+        rows = zip(self.first_setups, self.retries, strict=True)
         return max((measure.worst_excess(f, r) + (s,) for s, (f, r) in enumerate(rows)), default=(0, 0, 0))
 
-    def use(self, server, since_us, until_us):
+    def budget_fraction_used(self, server, since_us, until_us):
         """Retries as a fraction of what the bound allows, over a span."""
-        return measure.budget_use(self.firsts[server], self.retries[server], since_us, until_us)
+        return measure.budget_use(self.first_setups[server], self.retries[server], since_us, until_us)
--- a/thorndale/emulator/draw.py
+++ b/thorndale/emulator/random_day.py
@@ -2,12 +2,12 @@
 
 from random import Random
 
-from thorndale.emulator.day import Day, S, Trouble
+from thorndale.emulator.day import Day, S, ScenarioEvent
 
 SERVER_RATE = 100.0  # set-ups a second of one warm server, at 10 ms of work each
 
 
-def drawn(seed, length_s=90, proxies=228, servers=10, calls=680.0):
+def random_day(seed, length_s=90, proxies=228, servers=10, calls=680.0):
     """Returns (Day, description). There are two equal, two unequal or three sites. The lost site stops answering or
     refuses calls, and the server list announces this or does not. Variants: the site flaps, cuts the calls that it
     answers, returns cold into a burst, is slow, or is lost a second time."""
@@ -23,25 +23,32 @@
     announced = rng.random() < 0.7
     case = rng.choice(("plain", "plain", "flap", "cuts", "burst", "slow", "second"))
     kind, return_kind = rng.choice((("dark", "back"), ("dark", "restart"), ("killed", "restart")))
-    troubles = [
-        Trouble(loss_at, kind, site, told=announced),
-        Trouble(return_at, return_kind, site, told=announced),
+    scenario_events = [
+        ScenarioEvent(loss_at, kind, site, announced=announced),
+        ScenarioEvent(return_at, return_kind, site, announced=announced),
     ]
     if case == "flap":
         interval_us = (2 + 3 * rng.random()) * S
-        troubles = [
-            Trouble(int(loss_at + n * interval_us), (kind, return_kind)[n % 2], site, told=announced) for n in range(10)
+        scenario_events = [
+            ScenarioEvent(int(loss_at + n * interval_us), (kind, return_kind)[n % 2], site, announced=announced)
+            for n in range(10)
         ]
     elif case == "cuts":
-        troubles = [Trouble(loss_at, "cuts", site), Trouble(return_at, "back", site, told=False)]
+        scenario_events = [
+            ScenarioEvent(loss_at, "cuts", site),
+            ScenarioEvent(return_at, "back", site, announced=False),
+        ]
     elif case == "burst":
-        troubles += [Trouble(return_at - 2 * S, "burst", site, 1.2), Trouble(return_at + 10 * S, "burst", site, 1.0)]
+        scenario_events += [
+            ScenarioEvent(return_at - 2 * S, "burst", site, 1.2),
+            ScenarioEvent(return_at + 10 * S, "burst", site, 1.0),
+        ]
     elif case == "slow":
-        troubles = [Trouble(loss_at, "slow", site, 4.0), Trouble(return_at, "slow", site, 1.0)]
+        scenario_events = [ScenarioEvent(loss_at, "slow", site, 4.0), ScenarioEvent(return_at, "slow", site, 1.0)]
     elif case == "second":
-        troubles += [
-            Trouble(return_at + 6 * S, kind, site, told=announced),
-            Trouble(return_at + 14 * S, return_kind, site, told=announced),
+        scenario_events += [
+            ScenarioEvent(return_at + 6 * S, kind, site, announced=announced),
+            ScenarioEvent(return_at + 14 * S, return_kind, site, announced=announced),
         ]
     calls_per_site = calls / len(servers_per_site)
     outside = tuple(max(0.0, 0.97 * SERVER_RATE * n - calls_per_site) for n in servers_per_site)
@@ -52,7 +59,7 @@
         servers=servers_per_site,
         calls=calls,
         outside=outside,
-        troubles=tuple(sorted(troubles)),
+        scenario_events=tuple(sorted(scenario_events)),
         largest_proxy_fraction=0.2 if rng.random() < 0.2 else 0.0,
     )
     return day, f"{shape} {case} {kind}" + ("" if announced else " untold")
--- a/thorndale/emulator/ways.py
+++ b/thorndale/emulator/selection.py
@@ -3,7 +3,7 @@
 Each is the decision module with the order of one pool's servers replaced; its other rules, such as the retry budget
 and the choice of pools, are unchanged.
 
-`make_module(way, seed, settings, number, servers)` creates one. `servers` are the emulated servers, which
+`make_module(selection, seed, settings, number, servers)` creates one. `servers` are the emulated servers, which
 only the oracle reads.
 """
 
@@ -114,7 +114,7 @@
         return sorted(self._shuffled(self.by_pool.get(pool, ())), key=expected_delay_us)
 
 
-WAYS = {
+SELECTION_POLICIES = {
     "": Proxy,
     "list": ListOrder,
     "even": RandomOrder,
@@ -128,10 +128,10 @@
 }
 
 
-def make_module(way, seed, settings, number, servers):
-    proxy_module = WAYS[way](seed, settings)
-    if way == "subset":
+def make_module(selection, seed, settings, number, servers):
+    proxy_module = SELECTION_POLICIES[selection](seed, settings)
+    if selection == "subset":
         proxy_module.number = number
-    elif way == "oracle":
+    elif selection == "oracle":
         proxy_module.servers = servers
     return proxy_module
