--- a/thorndale/cli/__init__.py
+++ b/thorndale/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line: one module per group of commands."""
--- a/thorndale/config/__init__.py
+++ b/thorndale/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: JSON5 files to checked, typed values; every fault named by its path, all of them at once."""
+"""Settings: converts JSON5 files to validated, typed values and reports every problem by its path in one pass."""
--- a/thorndale/config/plans.py
+++ b/thorndale/config/plans.py
@@ -1,17 +1,17 @@
-"""A plan file: what servers can take and what is offered, beside a proxy's settings, in the planner's form."""
+"""Reads a plan file, which adds server capacities and offered load to a proxy's settings, into the planner's types."""
 
 import os
 from typing import Annotated
 
 from msgspec import Meta, Struct, convert
 
-from thorndale.config.load import ConfigError, decoded, load, read_text, shaped
+from thorndale.config.load import ConfigError, decode_json5, load, read_text, shaped
 from thorndale.sites.planner import Capacity, Load
 from thorndale.spelling import nearest
 
 
 class ServerRoom(Struct, forbid_unknown_fields=True, frozen=True):
-    """`per_s`: set-ups a second that it takes when warm."""
+    """`per_s`: set-ups a second that the server accepts when warm; `lines`: concurrent calls."""
 
     name: str
     per_s: Annotated[float, Meta(gt=0, le=1e6)]
@@ -19,7 +19,7 @@
 
 
 class Offered(Struct, forbid_unknown_fields=True, frozen=True):
-    """Calls a second of a type whose own site this is."""
+    """Calls a second of a type that originate at this site."""
 
     site: str
     call_type: str
@@ -27,8 +27,8 @@
 
 
 class PlanFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """`settings` names a proxy's settings beside this file; `keep_own`: part of a standing site's own calls that must
-    be served whatever is lost."""
+    """`settings`: path of a proxy's settings, relative to this file; `keep_own`: share of its own calls that each
+    remaining site must serve after any loss."""
 
     settings: str
     servers: Annotated[list[ServerRoom], Meta(min_length=1)]
@@ -37,45 +37,47 @@
 
 
 def read_plan(path, site_order):
-    """(settings, {server: Capacity}, Load) of a plan file. `site_order(settings)` gives the rows of sites by call type
-    and origin. Raises ConfigError with every fault by its path."""
-    raw = decoded(read_text(path, "plan file"), path)
-    faults = []
-    shaped(raw, PlanFile, "", faults)
-    if faults:
-        raise ConfigError(path, faults)
-    given = convert(raw, PlanFile)
-    settings = load(os.path.join(os.path.dirname(path), given.settings))
+    """(settings, {server: Capacity}, Load) of a plan file. `site_order(settings)` returns the allowed sites in
+    order, by call type and origin. Raises ConfigError with every problem by its path."""
+    raw = decode_json5(read_text(path, "plan file"), path)
+    problems = []
+    shaped(raw, PlanFile, "", problems)
+    if problems:
+        raise ConfigError(path, problems)
+    plan_file = convert(raw, PlanFile)
+    settings = load(os.path.join(os.path.dirname(path), plan_file.settings))
     if not settings.sites:
-        raise ConfigError(path, [f"settings: {given.settings} names no sites; there is nothing to plan"])
+        raise ConfigError(path, [f"settings: {plan_file.settings} names no sites; there is nothing to plan"])
     sites, types = [s.name for s in settings.sites], [t.name for t in settings.call_types]
-    site_of = {g: n for n, s in enumerate(settings.sites) for g in s.trunk_groups}
-    known = {s.name: site_of[s.trunk_group] for s in settings.servers}
+    site_of_group = {g: n for n, s in enumerate(settings.sites) for g in s.trunk_groups}
+    site_of_server = {s.name: site_of_group[s.trunk_group] for s in settings.servers}
 
-    def named(where, name, among, what):
-        if name not in among:
-            near = nearest(name, sorted(among))
-            faults.append(f"{where}: {name!r} is no {what} there" + (f"; '{near}' is meant?" if near else ""))
-        return name in among
+    def check_name(path_of_name, name, known_names, kind):
+        if name not in known_names:
+            suggestion = nearest(name, sorted(known_names))
+            problems.append(
+                f"{path_of_name}: {name!r} is no {kind} there" + (f"; '{suggestion}' is meant?" if suggestion else "")
+            )
+        return name in known_names
 
     servers, offered = {}, [[0.0] * len(sites) for _ in types]
-    for n, server in enumerate(given.servers):
-        if not named(f"servers[{n}].name", server.name, known, "server"):
+    for n, server in enumerate(plan_file.servers):
+        if not check_name(f"servers[{n}].name", server.name, site_of_server, "server"):
             continue
         if server.name in servers:
-            faults.append(f"servers[{n}].name: {server.name!r} stands before it already")
-        servers[server.name] = Capacity(known[server.name], server.per_s, server.lines)
-    faults += [
+            problems.append(f"servers[{n}].name: {server.name!r} is listed already")
+        servers[server.name] = Capacity(site_of_server[server.name], server.per_s, server.lines)
+    problems += [
         f"servers: what {name!r} can take is missing"
-        for name in known
-        if name not in {server.name for server in given.servers}
+        for name in site_of_server
+        if name not in {server.name for server in plan_file.servers}
     ]
-    for n, row in enumerate(given.offered):
-        site = named(f"offered[{n}].site", row.site, sites, "site")
-        if named(f"offered[{n}].call_type", row.call_type, types, "call type") and site:
+    for n, row in enumerate(plan_file.offered):
+        site = check_name(f"offered[{n}].site", row.site, sites, "site")
+        if check_name(f"offered[{n}].call_type", row.call_type, types, "call type") and site:
             offered[types.index(row.call_type)][sites.index(row.site)] += row.per_s
-    if faults:
-        raise ConfigError(path, faults)
+    if problems:
+        raise ConfigError(path, problems)
     return (
         settings,
         servers,
@@ -84,6 +86,6 @@
             [t.hold_ms / 1000 for t in settings.call_types],
             [t.revenue for t in settings.call_types],
             site_order(settings),
-            given.keep_own,
+            plan_file.keep_own,
         ),
     )
