--- a/tests/call/rig.py
+++ b/tests/call/rig.py
@@ -1,7 +1,7 @@
 """A border proxy in virtual time, with a scripted caller and scripted central servers. No sockets."""
 
 from thorndale.call.border import Border
-from thorndale.config.load import matching, parse
+from thorndale.config.load import load_rule_set, parse
 from thorndale.sip import message as m
 from thorndale.sip.transaction import Hop
 
@@ -23,7 +23,7 @@
         settings = parse(SETTINGS % extra)
         self.border = Border(
             settings,
-            matching(settings, "test"),
+            load_rule_set(settings, "test"),
             seed,
             LISTEN,
             lambda hop, data: self.sent.append((hop, data)),
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -21,7 +21,7 @@
 def problems_of(text):
     with pytest.raises(ConfigError) as caught:
         parse(text)
-    return caught.value.faults
+    return caught.value.problems
 
 
 def test_the_example_becomes_settings_of_the_module():
@@ -193,7 +193,7 @@
     )
     with pytest.raises(ConfigError) as caught:
         read_file(str(tmp_path / "day.json5"))
-    assert [f.partition(":")[0] for f in caught.value.faults] == ["faults[0].kind", "faults[1].who"]
+    assert [f.partition(":")[0] for f in caught.value.problems] == ["faults[0].kind", "faults[1].who"]
 
 
 def test_examples_run_at_check_and_by_match(tmp_path):
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -131,7 +131,7 @@
         path.write_text('{ "fleet": ' + json.dumps(fleet) + ", " + body)
         with pytest.raises(ConfigError) as raised:
             load(str(path))
-        return "\n".join(raised.value.faults)
+        return "\n".join(raised.value.problems)
 
     a, b = {"name": "proxy1", "at": "udp:127.0.0.1:7001"}, {"name": "proxy2", "at": "udp:127.0.0.1:7002"}
     listen = "udp:127.0.0.1:7001"
--- a/tests/standins/test_onward.py
+++ b/tests/standins/test_onward.py
@@ -47,4 +47,4 @@
     base = {"seconds": 1, "rate": 1, "boxes": BOXES, "types": TYPES, "proxies": 4, "tcp_part": 0.0}
     with pytest.raises(ConfigError) as fault:
         read_day(base | change, "test")
-    assert named in str(fault.value.faults)
+    assert named in str(fault.value.problems)
--- a/tests/standins/test_spread.py
+++ b/tests/standins/test_spread.py
@@ -173,7 +173,7 @@
     ):
         with pytest.raises(ConfigError) as raised:
             read_day({**plain, **more}, "day")
-        assert any(said in fault for fault in raised.value.faults), (said, raised.value.faults)
+        assert any(said in fault for fault in raised.value.problems), (said, raised.value.problems)
     separate = [cut, {**cut, "at": 3.0}, {**cut, "way": "out", "cut": False, "lose": 0.5}]
     assert len(read_day({**plain, "links": separate}, "day").links) == 3
 
--- a/thorndale/cli/balance.py
+++ b/thorndale/cli/balance.py
@@ -17,7 +17,7 @@
 HERD_THRESHOLD = 1.25  # share in one second, beyond random variation, from which a herd is listed
 
 
-def files(places):
+def log_files(places):
     """The paths of the logs: a folder is replaced by its files that end in .log."""
     for place in places:
         if os.path.isdir(place):
@@ -132,7 +132,7 @@
 
 def balance(places, proxy, echo):
     """Prints the report and returns the exit code."""
-    entries, unusable = read_logs(files(places), lambda text: echo(text, err=True))
+    entries, unusable = read_logs(log_files(places), lambda text: echo(text, err=True))
     fleet = combine_entries(entries)
     if fleet is None:
         echo("nothing to report: none of these is a log with set-ups", err=True)
--- a/thorndale/cli/explain.py
+++ b/thorndale/cli/explain.py
@@ -6,7 +6,7 @@
 import pyjson5
 from msgspec import Struct
 
-from thorndale.config.load import ConfigError, shaped
+from thorndale.config.load import ConfigError, collect_schema_problems
 from thorndale.daemon.book_file import replace
 from thorndale.match.errors import MatchError
 from thorndale.match.facts import Facts
@@ -88,7 +88,7 @@
         with open(path, encoding="utf-8") as file:
             raw = pyjson5.decode(file.read())
         problems = []
-        shaped(raw, list[Example], "", problems)
+        collect_schema_problems(raw, list[Example], "", problems)
         if problems:
             raise ConfigError(path, problems)
     except (OSError, ValueError, pyjson5.Json5Exception, ConfigError) as error:
--- a/thorndale/cli/fleet.py
+++ b/thorndale/cli/fleet.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from thorndale.cli.balance import files
+from thorndale.cli.balance import log_files
 from thorndale.fleet.view import STALE_S, lease_views, leases_by_server, member_views, view_differences, view_groups
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="The state of the fleet as seen by its proxies.")
@@ -35,7 +35,7 @@
     """Members as seen by each proxy, where the views differ, and since when; the retry leases that each proxy holds,
     retries refused for lack of a lease, and servers avoided because of peer failure reports."""
     views, leases, unusable = {}, {}, 0
-    for path in files(places):
+    for path in log_files(places):
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
                 file_views, unreadable = member_views(file)
--- a/thorndale/cli/main.py
+++ b/thorndale/cli/main.py
@@ -11,7 +11,7 @@
 
 from thorndale.cli.fleet import app as fleet_app
 from thorndale.cli.records import app as records_app
-from thorndale.config.load import ConfigError, load, matching
+from thorndale.config.load import ConfigError, load, load_rule_set
 
 app = typer.Typer(
     add_completion=False, no_args_is_help=True, help="A call router over trunk groups.", pretty_exceptions_enable=False
@@ -24,9 +24,9 @@
     """The settings and their rules; on invalid input prints every problem and exits with code 2."""
     try:
         settings = load(path)
-        return settings, matching(settings, path)
+        return settings, load_rule_set(settings, path)
     except ConfigError as error:
-        typer.echo(error.shown or "\n".join(f"{error.where}: {text}" for text in error.faults), err=True)
+        typer.echo(error.rendered or "\n".join(f"{error.where}: {text}" for text in error.problems), err=True)
         raise typer.Exit(2) from None
 
 
@@ -112,7 +112,7 @@
         if keep:
             os.makedirs(keep, exist_ok=True)
     except ConfigError as error:
-        for line in error.faults:
+        for line in error.problems:
             typer.echo(f"{file}: {line}", err=True)
         raise typer.Exit(2) from None
     except OSError as error:
@@ -144,7 +144,7 @@
         settings, servers, offered_load = read_plan(file, lambda s: site_settings(s)["site_order"])
         show(settings, servers, offered_load, losses(settings, lose, servers), typer.echo)
     except ConfigError as error:
-        typer.echo("\n".join(f"{error.where}: {text}" for text in error.faults), err=True)
+        typer.echo("\n".join(f"{error.where}: {text}" for text in error.problems), err=True)
         raise typer.Exit(2) from None
     except KeyError as error:
         typer.echo(f"{file}: --lose {error.args[0]!r} is neither a site nor a server there", err=True)
--- a/thorndale/cli/records.py
+++ b/thorndale/cli/records.py
@@ -197,9 +197,9 @@
         types = [t.name for t in load_settings(settings).call_types] if settings else ()
         return load(path, types)
     except ConfigError as error:
-        for text in error.faults:
+        for text in error.problems:
             typer.echo(f"{error.where}: {text}", err=True)
-        typer.echo(f"{len(error.faults)} errors, nothing was rated", err=True)
+        typer.echo(f"{len(error.problems)} errors, nothing was rated", err=True)
         raise typer.Exit(2) from None
 
 
--- a/thorndale/config/load.py
+++ b/thorndale/config/load.py
@@ -18,27 +18,27 @@
 from thorndale.sip.headers import is_token, parse_host_port
 from thorndale.spelling import nearest
 
-MAX_FILE = 16 << 20  # bytes
+MAX_FILE_BYTES = 16 << 20
 
 
 class ConfigError(Exception):
-    """`faults` is a list of texts of the form `path: what is wrong and how to correct it`; `shown` is the report of the
-    rules with source lines and carets, or empty."""
+    """`problems` is a list of texts of the form `path: what is wrong and how to correct it`; `rendered` is the report
+    of the rules with source lines and carets, or empty."""
 
     def __init__(self, where, problems):
         super().__init__("\n".join(f"{where}: {problem}" for problem in problems))
-        self.where, self.faults, self.shown = where, problems, ""
+        self.where, self.problems, self.rendered = where, problems, ""
 
 
 def read_text(path, kind):
     """The text of a file; `kind` describes the file in error messages. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MAX_FILE + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise ConfigError(path, [f"cannot be read: {error.strerror}; give the path of a {kind}"]) from None
-    if len(data) > MAX_FILE:
-        raise ConfigError(path, [f"larger than {MAX_FILE} bytes"])
+    if len(data) > MAX_FILE_BYTES:
+        raise ConfigError(path, [f"larger than {MAX_FILE_BYTES} bytes"])
     try:
         return data.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -62,7 +62,7 @@
     """The Settings of a JSON5 text. Raises ConfigError."""
     raw = decode_json5(text, where)
     problems = []
-    shaped(raw, Settings, "", problems)
+    collect_schema_problems(raw, Settings, "", problems)
     if problems:
         raise ConfigError(where, problems)
     settings = msgspec.convert(raw, Settings)
@@ -72,7 +72,7 @@
     return settings
 
 
-def matching(settings, path):
+def load_rule_set(settings, path):
     """The RuleSet that the settings name. `path` is that of the settings file. Raises ConfigError, in which each
     problem has its line and a caret."""
     names = AllowedNames(
@@ -85,7 +85,7 @@
         where = os.path.join(os.path.dirname(str(path)), settings.matching.file)
         try:
             with open(where, "rb") as file:
-                text = file.read(MAX_FILE + 1).decode("utf-8")
+                text = file.read(MAX_FILE_BYTES + 1).decode("utf-8")
         except OSError as error:
             raise ConfigError(where, [f"cannot be read: {error.strerror}; matching.file names it"]) from None
         except UnicodeDecodeError as error:
@@ -95,11 +95,11 @@
         return load_rules(text, names, where, settings.matching.steps, make_list_reader(folder))
     except MatchError as match_error:
         error = ConfigError(where, [f"{d.line}:{d.column}: {d.text}" for d in match_error.diagnostics])
-        error.shown = str(match_error)
+        error.rendered = str(match_error)
         raise error from None
 
 
-def shaped(raw, kind, path, problems):
+def collect_schema_problems(raw, kind, path, problems):
     """Adds a text to `problems` for every value in `raw` that does not match the type `kind`, each with its path."""
     kind, bounds = _split_annotated(kind)
     if isinstance(kind, types.UnionType):
@@ -119,7 +119,7 @@
                 )
         for name, field in fields.items():
             if name in raw:
-                shaped(raw[name], field.type, _subpath(path, name), problems)
+                collect_schema_problems(raw[name], field.type, _subpath(path, name), problems)
             elif field.required:
                 problems.append(f"{_subpath(path, name)}: is missing")
         return
@@ -130,7 +130,7 @@
         if any(b.min_length and len(raw) < b.min_length for b in bounds):
             problems.append(f"{path}: needs at least one entry")
         for n, item in enumerate(raw):
-            shaped(item, typing.get_args(kind)[0], f"{path}[{n}]", problems)
+            collect_schema_problems(item, typing.get_args(kind)[0], f"{path}[{n}]", problems)
         return
     try:
         msgspec.convert(raw, typing.Annotated[kind, *bounds] if bounds else kind)
@@ -154,7 +154,7 @@
     return text if len(text) <= 40 else f"{text[:37]}..."
 
 
-def listener(text):
+def parse_listener(text):
     """(transport, host, port) of `udp:ADDRESS:PORT` or `tcp:ADDRESS:PORT`. Raises ValueError."""
     transport, colon, address = text.partition(":")
     if transport not in ("udp", "tcp") or not colon:
@@ -195,7 +195,7 @@
     listen_addresses = set()
     for n, text in enumerate(settings.listen):
         try:
-            transport, host, port = listener(text)
+            transport, host, port = parse_listener(text)
         except ValueError as error:
             problems.append(f"listen[{n}]: {error}")
             continue
@@ -277,7 +277,7 @@
         index_of_address.setdefault(member.at, n)
     for path, text in addresses:
         try:
-            if listener(text)[0] != "udp":
+            if parse_listener(text)[0] != "udp":
                 problems.append(f"{path}: {text!r} should begin with 'udp:'; members communicate by datagrams")
         except ValueError as error:
             problems.append(f"{path}: {error}")
--- a/thorndale/config/plans.py
+++ b/thorndale/config/plans.py
@@ -5,12 +5,12 @@
 
 from msgspec import Meta, Struct, convert
 
-from thorndale.config.load import ConfigError, decode_json5, load, read_text, shaped
+from thorndale.config.load import ConfigError, collect_schema_problems, decode_json5, load, read_text
 from thorndale.sites.planner import Capacity, Load
 from thorndale.spelling import nearest
 
 
-class ServerRoom(Struct, forbid_unknown_fields=True, frozen=True):
+class ServerCapacity(Struct, forbid_unknown_fields=True, frozen=True):
     """`per_s`: set-ups a second that the server accepts when warm; `lines`: concurrent calls."""
 
     name: str
@@ -31,7 +31,7 @@
     remaining site must serve after any loss."""
 
     settings: str
-    servers: Annotated[list[ServerRoom], Meta(min_length=1)]
+    servers: Annotated[list[ServerCapacity], Meta(min_length=1)]
     offered: Annotated[list[Offered], Meta(min_length=1)]
     keep_own: Annotated[float, Meta(ge=0, le=1)] = 0.0
 
@@ -41,7 +41,7 @@
     order, by call type and origin. Raises ConfigError with every problem by its path."""
     raw = decode_json5(read_text(path, "plan file"), path)
     problems = []
-    shaped(raw, PlanFile, "", problems)
+    collect_schema_problems(raw, PlanFile, "", problems)
     if problems:
         raise ConfigError(path, problems)
     plan_file = convert(raw, PlanFile)
--- a/thorndale/daemon/fleet.py
+++ b/thorndale/daemon/fleet.py
@@ -4,7 +4,7 @@
 import time
 
 from thorndale import interface as io
-from thorndale.config.load import listener
+from thorndale.config.load import parse_listener
 from thorndale.fleet import wire
 from thorndale.fleet.exchange import FleetExchange
 from thorndale.fleet.members import STATES
@@ -25,12 +25,12 @@
         fleet = settings.fleet
         names = [m.name for m in fleet.members]
         self.loop, self.log_event, self.closed = loop, log_event, False
-        self.member_addresses = [listener(m.at)[1:] for m in fleet.members]
+        self.member_addresses = [parse_listener(m.at)[1:] for m in fleet.members]
         self.member_by_address = {address: n for n, address in enumerate(self.member_addresses)}
         self.count = {"sent": 0, "heard": 0, "bytes": 0, "unlisted": 0, "unreadable": 0}
         self.last_complaint_at, self.left_out, self.changes_logged = 0.0, 0, (0, 0)
         self.timer, self.view_at = None, time.monotonic() + VIEW_PERIOD_S
-        _, host, port = listener(fleet.listen)
+        _, host, port = parse_listener(fleet.listen)
         try:
             self.udp = Udp(loop, host, port, self._receive, lambda hop: None, self._arm)
         except OSError as error:
--- a/thorndale/daemon/run.py
+++ b/thorndale/daemon/run.py
@@ -11,7 +11,7 @@
 
 from thorndale import signals
 from thorndale.call.border import Border
-from thorndale.config.load import ConfigError, listener, matching
+from thorndale.config.load import ConfigError, load_rule_set, parse_listener
 from thorndale.daemon import book_file
 from thorndale.daemon.log import open_log
 from thorndale.net.clock import now_us
@@ -33,14 +33,14 @@
 
     Raises StartError before anything is served, ConfigError for invalid rules.
     """
-    rules = rules or matching(settings, path)
+    rules = rules or load_rule_set(settings, path)
     loop = asyncio.get_running_loop()
     sockets_before = open_sockets()  # the event loop opens some itself
     try:
         log_event, close_log = open_log(settings.log, settings.name)
     except OSError as error:
         raise StartError(f"log.file: {settings.log.file} cannot be written: {error.strerror}") from None
-    listeners = [listener(text) for text in settings.listen]
+    listeners = [parse_listener(text) for text in settings.listen]
     ends = TransportLayer(loop, settings.limits)
     book_path = settings.book.file if settings.book else ""
     book_writer = book_file.BookFileWriter(loop, book_path, log_event)
@@ -196,14 +196,14 @@
         await reload_requested.wait()
         reload_requested.clear()
         try:
-            rules = await asyncio.get_running_loop().run_in_executor(None, matching, settings, path)
+            rules = await asyncio.get_running_loop().run_in_executor(None, load_rule_set, settings, path)
         except ConfigError as error:
             log_event(
                 "error",
                 "rules refused, the old ones stay",
                 file=error.where,
-                faults=error.faults[:MAX_LOGGED_FAULTS],
-                count=len(error.faults),
+                faults=error.problems[:MAX_LOGGED_FAULTS],
+                count=len(error.problems),
             )
             continue
         border.use_rules(rules)
--- a/thorndale/daemon/start.py
+++ b/thorndale/daemon/start.py
@@ -2,20 +2,20 @@
 
 import sys
 
-from thorndale.config.load import ConfigError, load, matching
+from thorndale.config.load import ConfigError, load, load_rule_set
 from thorndale.daemon.run import StartError, run
 
 
 def error_text(error):
     """The text of a ConfigError for standard error."""
-    return error.shown or "\n".join(f"{error.where}: {text}" for text in error.faults)
+    return error.rendered or "\n".join(f"{error.where}: {text}" for text in error.problems)
 
 
 def main(path):
     """Runs one border proxy until SIGTERM. Returns the exit code: 0 stopped, 1 could not start, 2 invalid settings."""
     try:
         settings = load(path)
-        rules = matching(settings, path)
+        rules = load_rule_set(settings, path)
     except ConfigError as error:
         print(error_text(error), file=sys.stderr)
         return 2
--- a/thorndale/records/tariff.py
+++ b/thorndale/records/tariff.py
@@ -19,7 +19,7 @@
 from msgspec import Meta, Struct
 from xxhash import xxh64_hexdigest
 
-from thorndale.config.load import MAX_FILE, ConfigError, shaped
+from thorndale.config.load import MAX_FILE_BYTES, ConfigError, collect_schema_problems
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 WEEK = 7 * 1440  # minutes
@@ -159,12 +159,12 @@
     errors, raw, text = [], None, b""
     try:
         with open(path, "rb") as file:
-            text = file.read(MAX_FILE)
+            text = file.read(MAX_FILE_BYTES)
         raw = pyjson5.decode(text.decode("utf-8"))
         if isinstance(raw, dict) and isinstance(raw.get("file"), str) and raw["file"]:
             csv_path = os.path.join(os.path.dirname(str(path)), raw["file"])
             with open(csv_path, "rb") as file:
-                rows = file.read(MAX_FILE)
+                rows = file.read(MAX_FILE_BYTES)
             text += b"\0" + rows
             raw = {**raw, "tariffs": [*raw.get("tariffs", []), *from_csv(rows.decode("utf-8-sig"), errors, csv_path)]}
     except OSError as error:
@@ -215,7 +215,7 @@
 def checked(raw, where, errors=(), text=b"", call_types=()):
     """Validates a decoded tariff file and returns its Tariffs. Raises ConfigError with all errors found."""
     errors = list(errors)
-    shaped(raw, Sheet, "", errors)
+    collect_schema_problems(raw, Sheet, "", errors)
     if errors:
         raise ConfigError(where, errors)
     sheet = msgspec.convert(raw, Sheet)
--- a/thorndale/standins/script.py
+++ b/thorndale/standins/script.py
@@ -6,7 +6,7 @@
 import pyjson5
 from msgspec import Meta, Struct, convert
 
-from thorndale.config.load import ConfigError, shaped
+from thorndale.config.load import ConfigError, collect_schema_problems
 from thorndale.standins.links import LinkPlan, overlaps
 
 PositiveMs = Annotated[float, Meta(gt=0)]
@@ -105,7 +105,7 @@
 def read_day(raw, where):
     """Returns a Day. Raises ConfigError with every error and its path."""
     errors = []
-    shaped(raw, Day, "", errors)
+    collect_schema_problems(raw, Day, "", errors)
     if errors:
         raise ConfigError(where, errors)
     day = convert(raw, Day)
