--- a/bench/scale/__init__.py
+++ b/bench/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: each measures how one cost grows with the size of the fleet, and works out the target size from it."""
+"""Scale tests: each measures how one cost grows with the fleet and extrapolates it to the target size."""
--- a/bench/scale/capacity.py
+++ b/bench/scale/capacity.py
@@ -1,6 +1,6 @@
-"""The figures at the target size, worked out again from the scale tests' JSON: `python -m bench.scale.capacity`
+"""Computes the figures at the target size from the scale tests' JSON files: `python -m bench.scale.capacity`
 
-Prints the table that stands in docs/CAPACITY.md; `--chart FILE` draws the slopes. Exit code 1 where a result is missing.
+Prints the tables of docs/CAPACITY.md; `--chart FILE` draws the slopes. Exits with code 1 if a result is missing.
 """
 
 import argparse
@@ -14,12 +14,13 @@
 
 
 class MissingResultError(Exception):
-    """A scale test's file, or the slope asked of it, is not there."""
+    """The result file of a scale test is missing, or it has no matching slope."""
 
 
 class Figure(NamedTuple):
-    """One row: what it costs whom, from which slope of which test. `keys`: what the slope's entry must say. `limit`: in
-    the unit shown, None where there is none; `factor`: from the test's unit to the one shown."""
+    """One row of the table: a cost of one role, and the test and slope it is computed from. `keys`: the entries that the
+    slope must match. `limit`: in the displayed unit, None if the cost has no limit. `factor`: converts the test's unit
+    to the displayed unit."""
 
     role: str
     cost: str
@@ -31,7 +32,7 @@
     mechanism: str = ""
 
 
-def _fleet(column, **keys):
+def _by_members(column, **keys):
     return {"of": column, "by": "members", **keys}
 
 
@@ -74,13 +75,13 @@
         "MB",
         None,
         1 / 1024,
-        "a row of figures a server",
+        "one row of state per server",
     ),
     Figure(
         "border proxy",
         "added to a set-up, p50, control on",
         "callpath",
-        _fleet("added_p50_us"),
+        _by_members("added_p50_us"),
         "ms",
         None,
         1e-3,
@@ -90,7 +91,7 @@
         "border proxy",
         "added to a set-up, p99, control on",
         "callpath",
-        _fleet("added_p99_us"),
+        _by_members("added_p99_us"),
         "ms",
         target.ADDED_MS,
         1e-3,
@@ -100,7 +101,7 @@
         "border proxy",
         "control: part of a core, before calls",
         "callpath",
-        _fleet("idle_core"),
+        _by_members("idle_core"),
         "%",
         100 * target.CONTROL_CORE,
         100.0,
@@ -110,7 +111,7 @@
         "border proxy",
         "memory of the whole process",
         "callpath",
-        _fleet("memory_mb"),
+        _by_members("memory_mb"),
         "MB",
         target.CONTROL_MB,
         1.0,
@@ -120,27 +121,27 @@
         "border proxy",
         "control: bytes sent",
         "callpath",
-        _fleet("sent_bytes_per_s"),
+        _by_members("sent_bytes_per_s"),
         "B/s",
         target.CONTROL_BYTES_PER_S,
         1.0,
-        "SWIM, budgets, words",
+        "SWIM, retry budgets, peer failure reports",
     ),
     Figure(
         "border proxy",
         "membership, cold start of everybody: bytes sent",
         "membership",
-        _fleet("bytes_per_s", play="cold"),
+        _by_members("bytes_per_s", play="cold"),
         "B/s",
         target.CONTROL_BYTES_PER_S,
         1.0,
-        "gossip, ten pieces of news a datagram",
+        "gossip, ten membership updates per datagram",
     ),
     Figure(
         "border proxy",
         "membership, cold start of everybody: part of a core",
         "membership",
-        _fleet("core_part", play="cold"),
+        _by_members("core_part", play="cold"),
         "%",
         100 * target.CONTROL_CORE,
         100.0,
@@ -150,7 +151,7 @@
         "border proxy",
         "one dead member known dead by all",
         "membership",
-        _fleet("known_dead_s", play="one"),
+        _by_members("known_dead_s", play="one"),
         "s",
         None,
         1.0,
@@ -164,7 +165,7 @@
         "B/s",
         target.CONTROL_BYTES_PER_S,
         1.0,
-        "escrow with leases; rumours",
+        "escrow with leases; gossip",
     ),
     Figure(
         "border proxy",
@@ -204,7 +205,7 @@
         "",
         1024,
         1.0,
-        "a connection a server called",
+        "one connection per server called",
     ),
     Figure(
         "central server",
@@ -214,7 +215,7 @@
         "",
         None,
         1.0,
-        "one a proxy",
+        "one per proxy",
     ),
     Figure(
         "central server",
@@ -224,7 +225,7 @@
         "",
         None,
         1.0,
-        "one a proxy",
+        "one per proxy",
     ),
     Figure(
         "operator's command",
@@ -234,7 +235,7 @@
         "s",
         target.CHANGE_IN_FORCE_S,
         1e-3,
-        "file and SIGHUP; none",
+        "file and SIGHUP, no distribution mechanism",
     ),
     Figure(
         "border proxy",
@@ -244,74 +245,78 @@
         "ms",
         None,
         1.0,
-        "compiled off the loop",
+        "compiled outside the event loop",
     ),
 )
 
 
-def load(test, folder=report.FOLDER):
-    path = report.path_of(test, folder)
+def load(test, folder=report.RESULTS_FOLDER):
+    path = report.result_path(test, folder)
     try:
         return json.loads(path.read_text(encoding="utf-8"))
     except FileNotFoundError:
-        raise MissingResultError(f"{path.name} is not there: run python -m bench.scale.{test}") from None
+        raise MissingResultError(f"{path.name} is missing: run python -m bench.scale.{test}") from None
 
 
-def slope_of(result, keys):
+def find_slope(result, keys):
     for slope in result["slopes"]:
         if all(slope.get(key) == value for key, value in keys.items()):
             return slope
     raise MissingResultError(f"scale-{result['test']}.json has no slope for {keys}")
 
 
-def shown(value):
-    """Three digits."""
+def format_value(value):
+    """Formats with three significant digits, whole numbers from 1,000 on."""
     if abs(value) >= 1000:
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
 
-def table(folder=report.FOLDER):
-    """The lines of the table, in Markdown."""
+def table(folder=report.RESULTS_FOLDER):
+    """The lines of the capacity table, in Markdown."""
     lines = [
         "| role | cost | at the target | limit | ratio | slope (n: size; in the test's unit) | test |",
         "| --- | --- | ---: | ---: | ---: | --- | --- |",
     ]
     for figure in FIGURES:
-        slope = slope_of(load(figure.test, folder), figure.keys)
+        slope = find_slope(load(figure.test, folder), figure.keys)
         value = slope["at_target"] * figure.factor
-        limit = "-" if figure.limit is None else f"{shown(figure.limit)} {figure.unit}".strip()
+        limit = "-" if figure.limit is None else f"{format_value(figure.limit)} {figure.unit}".strip()
         ratio = "-" if figure.limit is None else f"{value / figure.limit:.2f}"
         lines.append(
-            f"| {figure.role} | {figure.cost} | {shown(value)} {figure.unit}".rstrip()
+            f"| {figure.role} | {figure.cost} | {format_value(value)} {figure.unit}".rstrip()
             + f" | {limit} | {ratio} | {slope['text']} | {figure.test} |"
         )
     return lines
 
 
-def depth_table(folder=report.FOLDER):
-    """Calls that stood of those offered, by depth, without and with the marks; the mean of the seeds."""
+def depth_table(folder=report.RESULTS_FOLDER):
+    """Share of offered calls that were answered, by depth, without and with chain marks; the mean over the seeds."""
     rows = load("depth", folder)["rows"]
     depths = sorted({row["depth"] for row in rows})
     lines = [
         "| reports and named waits | last hop | load | marked | " + " | ".join(f"{d}" for d in depths) + " |",
         "| --- | --- | ---: | --- | " + " | ".join("---:" for _ in depths) + " |",
     ]
-    kinds = dict.fromkeys((r["reports"], r["fault"], r["load"], r["redials"], r["marked"]) for r in rows)
-    for kind in sorted(kinds, key=lambda k: (k[3], k[0], ("healthy", "failing", "dead").index(k[1]), k[2], k[4])):
-        reports, fault, load_, redials, marked = kind
+    scenarios = dict.fromkeys((r["reports"], r["fault"], r["load"], r["redials"], r["marked"]) for r in rows)
+    for scenario in sorted(
+        scenarios, key=lambda k: (k[3], k[0], ("healthy", "failing", "dead").index(k[1]), k[2], k[4])
+    ):
+        reports, fault, offered_load, redials, marked = scenario
         cells = []
         for depth in depths:
-            own = [
+            answered_shares = [
                 r["stood"]
                 for r in rows
-                if r["depth"] == depth and (r["reports"], r["fault"], r["load"], r["redials"], r["marked"]) == kind
+                if r["depth"] == depth and (r["reports"], r["fault"], r["load"], r["redials"], r["marked"]) == scenario
             ]
-            cells.append(f"{sum(own) / len(own):.2f}" if own else "-")
-        told = "yes" if reports else "no"
-        tail = ", 2 redials" if redials else ""
-        mark = "yes" if marked else "no"
-        lines.append(f"| {told}{tail} | {fault} | {load_} | {mark} | " + " | ".join(cells) + " |")
+            cells.append(f"{sum(answered_shares) / len(answered_shares):.2f}" if answered_shares else "-")
+        reports_text = "yes" if reports else "no"
+        redials_text = ", 2 redials" if redials else ""
+        marked_text = "yes" if marked else "no"
+        lines.append(
+            f"| {reports_text}{redials_text} | {fault} | {offered_load} | {marked_text} | " + " | ".join(cells) + " |"
+        )
     return lines
 
 
@@ -327,17 +332,17 @@
 )
 
 
-def runs_table(folder=report.FOLDER):
-    """The commands as they were run, with their time."""
+def runs_table(folder=report.RESULTS_FOLDER):
+    """The commands as they were run, with their duration and the load average before them."""
     lines = ["| test | command | seconds | load before |", "| --- | --- | ---: | ---: |"]
     for test in TESTS:
-        found = load(test, folder)
-        lines.append(f"| {test} | `{found['command']}` | {found['seconds']:.0f} | {found['load_before']} |")
+        result = load(test, folder)
+        lines.append(f"| {test} | `{result['command']}` | {result['seconds']:.0f} | {result['load_before']} |")
     return lines
 
 
-def draw(path, folder=report.FOLDER):
-    """Measured values and their fits to the target, one panel a figure that grows."""
+def draw(path, folder=report.RESULTS_FOLDER):
+    """Draws the measured values and their fits up to the target size, one panel for each cost that grows."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -346,15 +351,17 @@
 
     from bench.scale.fit import Fit
 
-    panels = [f for f in FIGURES if slope_of(load(f.test, folder), f.keys)["law"] != "constant"]
+    panels = [f for f in FIGURES if find_slope(load(f.test, folder), f.keys)["law"] != "constant"]
     rows = -(-len(panels) // CHART_COLUMNS)
     figure, axes = plt.subplots(rows, CHART_COLUMNS, figsize=(10, 2.4 * rows), squeeze=False)
     for axis, panel in zip(axes.flat, panels, strict=False):
         result = load(panel.test, folder)
-        slope = slope_of(result, panel.keys)
-        given = {key: value for key, value in panel.keys.items() if key in ("play", "loss")}
-        own = [r for r in result["rows"] if all(r.get(k) == v for k, v in given.items()) and r.get(slope["by"], 0) > 0]
-        points = [(r[slope["by"]], r[slope["of"]] * panel.factor) for r in own if r.get(slope["of"]) is not None]
+        slope = find_slope(result, panel.keys)
+        row_filter = {key: value for key, value in panel.keys.items() if key in ("play", "loss")}
+        matching = [
+            r for r in result["rows"] if all(r.get(k) == v for k, v in row_filter.items()) and r.get(slope["by"], 0) > 0
+        ]
+        points = [(r[slope["by"]], r[slope["of"]] * panel.factor) for r in matching if r.get(slope["of"]) is not None]
         sizes = numpy.linspace(min(p[0] for p in points), slope["target"], 60)
         fitted = Fit(slope["law"], tuple(slope["terms"]), slope["residual"])
         axis.plot(*zip(*points, strict=True), "o", markersize=4)
@@ -371,16 +378,16 @@
 
 def main():
     parser = argparse.ArgumentParser()
-    parser.add_argument("--folder", default=str(report.FOLDER))
+    parser.add_argument("--folder", default=str(report.RESULTS_FOLDER))
     parser.add_argument("--chart", default="")
-    given = parser.parse_args()
+    args = parser.parse_args()
     try:
         tables = (table, depth_table, runs_table)
-        print("\n\n".join("\n".join(each(given.folder)) for each in tables))
-        if given.chart:
-            draw(given.chart, given.folder)
-    except MissingResultError as fault:
-        print(fault, file=sys.stderr)
+        print("\n\n".join("\n".join(each(args.folder)) for each in tables))
+        if args.chart:
+            draw(args.chart, args.folder)
+    except MissingResultError as error:
+        print(error, file=sys.stderr)
         sys.exit(1)
 
 
--- a/bench/scale/configuration.py
+++ b/bench/scale/configuration.py
@@ -1,8 +1,8 @@
-"""From a change being published to its being in force, by today's means. `python -m bench.scale.configuration`
+"""Time from publishing a change of the rules until it is in force: `python -m bench.scale.configuration`
 
-Today a change of the rules is a file written for each proxy and SIGHUP to it; there is no mechanism that spreads it.
-Real proxies without calls on this machine, which shares its cores among all of them: `operator_ms` is what writing and
-signalling take from one place, one proxy after another; `each_ms` the processor time that a proxy takes for it.
+A change of the rules is a file written for each proxy and a SIGHUP to it; no mechanism distributes it. Real proxies
+without calls run on this machine and share its cores. `operator_ms`: the time to write the file of and signal one proxy
+after another from one place. `each_ms`: the processor time that one proxy takes for the change.
 """
 
 import argparse
@@ -19,48 +19,48 @@
 from bench.scale import limits, report, target
 from thorndale.standins.ports import reserve_port
 
-PROXIES = (20, 40, 80, 120)
-RULES = 100  # rules of the file that changes
+PROXY_COUNTS = (20, 40, 80, 120)
+RULE_COUNT = 100  # in the file that changes
 PROXY_MB = 45
-START_S, CHANGE_S = 60.0, 30.0
+START_TIMEOUT_S, CHANGE_TIMEOUT_S = 60.0, 30.0
 ROUNDS = 3
 
 
 def rules_text(edition):
-    """Rules that differ by edition in one header."""
+    """Rules whose text differs between editions in the value of one header."""
     lines = [
         f'rule "r{n}" {{ when prefix(number, "+221{n:03d}") type t header "X-Edition" = "{edition}" }}'
-        for n in range(RULES)
+        for n in range(RULE_COUNT)
     ]
     return "\n".join([*lines, "default { type t }", ""])
 
 
 class Proxies:
-    """`count` proxies on loopback, ended by their ids at the end of `with`."""
+    """`count` proxy processes on loopback; leaving the `with` block ends exactly these processes."""
 
     def __init__(self, folder, count):
-        self.folder, self.processes, self.rules, self.logs = folder, [], [], []
+        self.folder, self.processes, self.rules_paths, self.log_paths = folder, [], [], []
         for number in range(count):
             port, name = reserve_port(), f"proxy{number}"
-            path, rules, log = (Path(folder) / f"{name}.{tail}" for tail in ("json5", "rules", "log"))
-            rules.write_text(rules_text(0), encoding="utf-8")
-            path.write_text(json.dumps(self._settings(name, port, rules, log)), encoding="utf-8")
-            self.rules.append(rules)
-            self.logs.append(log)
+            path, rules_path, log_path = (Path(folder) / f"{name}.{suffix}" for suffix in ("json5", "rules", "log"))
+            rules_path.write_text(rules_text(0), encoding="utf-8")
+            path.write_text(json.dumps(self._settings(name, port, rules_path, log_path)), encoding="utf-8")
+            self.rules_paths.append(rules_path)
+            self.log_paths.append(log_path)
             self.processes.append(
                 subprocess.Popen([sys.executable, "-m", "thorndale", "run", str(path)], stdout=subprocess.DEVNULL)
             )
 
-    def _settings(self, name, port, rules, log):
+    def _settings(self, name, port, rules_path, log_path):
         return {
             "name": name,
             "listen": [f"udp:127.0.0.1:{port}"],
             "trunk_groups": [{"name": "a"}],
             "servers": [{"name": "box", "uri": "sip:127.0.0.1:9", "trunk_group": "a"}],
             "call_types": [{"name": "t", "setup_target_ms": 1200, "guard_ms": 9000, "trunk_groups": ["a"]}],
-            "matching": {"file": rules.name},
+            "matching": {"file": rules_path.name},
             "stop": {"calls_ms": 100, "quit_ms": 100},
-            "log": {"level": "info", "file": str(log)},
+            "log": {"level": "info", "file": str(log_path)},
         }
 
     def __enter__(self):
@@ -72,60 +72,60 @@
         for process in self.processes:
             process.wait()
 
-    def said(self, event, times, most_s):
-        """Waits until each proxy has said so, so often. Raises TimeoutError."""
-        end, waiting = time.monotonic() + most_s, list(self.logs)
+    def wait_for_event(self, event, times, timeout_s):
+        """Waits until each proxy has logged the event this many times. Raises TimeoutError."""
+        deadline, waiting = time.monotonic() + timeout_s, list(self.log_paths)
         while waiting:
-            waiting = [log for log in waiting if not log.exists() or log.read_text().count(f'"{event}"') < times]
-            if time.monotonic() > end:
-                raise TimeoutError(f"{len(waiting)} proxies have not said {event!r}")
+            waiting = [path for path in waiting if not path.exists() or path.read_text().count(f'"{event}"') < times]
+            if time.monotonic() > deadline:
+                raise TimeoutError(f"{len(waiting)} proxies have not logged {event!r}")
             time.sleep(0.01)
 
     def publish(self, edition):
-        """Writes the rules for each and signals it; gives the seconds that took."""
-        began = time.monotonic()
-        for rules, process in zip(self.rules, self.processes, strict=True):
-            half = rules.with_suffix(".half")
-            half.write_text(rules_text(edition), encoding="utf-8")
-            half.replace(rules)
+        """Writes the rules file of each proxy and signals the proxy; returns the seconds this took."""
+        started_at = time.monotonic()
+        for rules_path, process in zip(self.rules_paths, self.processes, strict=True):
+            temporary = rules_path.with_suffix(".half")
+            temporary.write_text(rules_text(edition), encoding="utf-8")
+            temporary.replace(rules_path)
             os.kill(process.pid, signal.SIGHUP)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
 
-def play(count):
+def measure(count):
     with tempfile.TemporaryDirectory() as folder, Proxies(folder, count) as proxies:
-        proxies.said("pid", 1, START_S)
+        proxies.wait_for_event("pid", 1, START_TIMEOUT_S)
         rows = []
         for edition in range(1, ROUNDS + 1):
-            before = [calls.cpu(p.pid) for p in proxies.processes]
-            began = time.monotonic()
+            cpu_before = [calls.cpu(p.pid) for p in proxies.processes]
+            started_at = time.monotonic()
             operator_s = proxies.publish(edition)
-            proxies.said("rules in force", edition, CHANGE_S)
-            in_force_s = time.monotonic() - began
-            spent = sum(calls.cpu(p.pid) for p in proxies.processes) - sum(before)
-            rows.append((in_force_s, operator_s, spent / count))
+            proxies.wait_for_event("rules in force", edition, CHANGE_TIMEOUT_S)
+            in_force_s = time.monotonic() - started_at
+            cpu_s = sum(calls.cpu(p.pid) for p in proxies.processes) - sum(cpu_before)
+            rows.append((in_force_s, operator_s, cpu_s / count))
             time.sleep(0.3)
-    in_force, operator, each = (sorted(column)[len(column) // 2] for column in zip(*rows, strict=True))
+    in_force, operator, processor = (sorted(column)[len(column) // 2] for column in zip(*rows, strict=True))
     return {
         "proxies": count,
         "in_force_ms": round(in_force * 1e3, 1),
         "operator_ms": round(operator * 1e3, 2),
-        "each_ms": round(each * 1e3, 2),
+        "each_ms": round(processor * 1e3, 2),
     }
 
 
 def main():
     parser = argparse.ArgumentParser()
-    parser.add_argument("--proxies", default=",".join(map(str, PROXIES)))
+    parser.add_argument("--proxies", default=",".join(map(str, PROXY_COUNTS)))
     parser.add_argument("--out", default="")
-    given = parser.parse_args()
-    sizes = [int(n) for n in given.proxies.split(",")]
+    args = parser.parse_args()
+    sizes = [int(n) for n in args.proxies.split(",")]
     limits.require(limits.Demand(max(sizes), max(sizes) * PROXY_MB, 0))
-    began = time.monotonic()
-    rows = [play(n) for n in sizes]
+    started_at = time.monotonic()
+    rows = [measure(n) for n in sizes]
     columns = ("in_force_ms", "operator_ms", "each_ms")
     slopes = [report.slope(rows, "proxies", column, target.SERVERS) for column in columns]
-    report.write("configuration", rows, slopes, time.monotonic() - began, given.out, rules=RULES)
+    report.write("configuration", rows, slopes, time.monotonic() - started_at, args.out, rules=RULE_COUNT)
 
 
 if __name__ == "__main__":
--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -1,10 +1,10 @@
-"""Connections of a proxy that may call every server, and of a server that every proxy may call.
+"""Connections of a proxy that calls every server, and of a server that every proxy calls.
 
     python -m bench.scale.connections [--servers 37,74,148,296] [--proxies 8,16,32,64] [--out FILE]
 
-Real processes on loopback by TCP, played as days. `proxy`: one proxy, 69 calls a second over all listed servers;
-descriptors, memory and processor time are the proxy's own. `server`: two servers, 3 calls a second from each proxy;
-`held` is the most connections that one server held.
+Real processes on loopback over TCP, run as days. `proxy`: one proxy, 69 calls a second over all listed servers;
+descriptors, memory and processor time are those of the proxy. `server`: two servers, 3 calls a second from each proxy;
+`held` is the largest number of connections that one server had open at a time.
 """
 
 import argparse
@@ -20,36 +20,42 @@
 from thorndale.standins.script import CallTypePlan, CentralServerPlan, Day, Fault
 
 SERVERS, PROXIES = (37, 74, 148, 296), (8, 16, 32, 64)
-SECONDS, LOOKED_AT_S = 14.0, 12.0
+DAY_S, SAMPLE_AT_S = 14.0, 12.0
 PROXY_MB = 45
-TYPE = CallTypePlan("t", "+2", 1.0, 1200, 9000, 3, 1000)
+CALL_TYPE = CallTypePlan("t", "+2", 1.0, 1200, 9000, 3, 1000)
 
 
-class Watched(Player):
-    """A day that looks at its first proxy's process some seconds after its start."""
+class SampledPlayer(Player):
+    """Plays a day and samples the process of its first proxy once, SAMPLE_AT_S after the start."""
 
-    look = None
+    process_sample = None
 
     async def _fault(self, fault):
-        await asyncio.sleep(LOOKED_AT_S)
+        await asyncio.sleep(SAMPLE_AT_S)
         pid = self.processes["proxy1"].pid
-        self.look = {
+        self.process_sample = {
             "descriptors": len(os.listdir(f"/proc/{pid}/fd")),
             "memory_mb": round(calls.rss(pid) / 1e6, 1),
-            "core": round(calls.cpu(pid) / LOOKED_AT_S, 4),
+            "core": round(calls.cpu(pid) / SAMPLE_AT_S, 4),
         }
 
 
-def play(servers, proxies, rate):
-    boxes = [CentralServerPlan(f"box{n}", f"g{n // target.SERVICE_SERVERS}", "tcp", 4.0) for n in range(servers)]
-    day = Day(SECONDS, rate, boxes, [TYPE], proxies, tcp_part=0.0, redials=0, t1_ms=100)
-    day.faults = [Fault(0.0, "burst", [], SECONDS)]  # the moment at which `Watched` looks, and no burst
-    player = Watched(day)
+def measure(servers, proxies, rate):
+    server_plans = [CentralServerPlan(f"box{n}", f"g{n // target.SERVICE_SERVERS}", "tcp", 4.0) for n in range(servers)]
+    day = Day(DAY_S, rate, server_plans, [CALL_TYPE], proxies, tcp_part=0.0, redials=0, t1_ms=100)
+    day.faults = [Fault(0.0, "burst", [], DAY_S)]  # starts SampledPlayer's sample; there is no burst
+    player = SampledPlayer(day)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         breaks = runner.run(player.play())
-    held = [most for most, _ in player.connections.values()]
+    peaks = [peak for peak, _ in player.connections.values()]
     opened = sum(count for _, count in player.connections.values())
-    return {"held": max(held), "opened": opened, "breaks": len(breaks), "left": len(leaks(player)), **player.look}
+    return {
+        "held": max(peaks),
+        "opened": opened,
+        "breaks": len(breaks),
+        "left": len(leaks(player)),
+        **player.process_sample,
+    }
 
 
 def main():
@@ -57,20 +63,20 @@
     parser.add_argument("--servers", default=",".join(map(str, SERVERS)))
     parser.add_argument("--proxies", default=",".join(map(str, PROXIES)))
     parser.add_argument("--out", default="")
-    given = parser.parse_args()
-    servers, proxies = ([int(n) for n in text.split(",")] for text in (given.servers, given.proxies))
-    most = max(proxies)
-    limits.require(limits.Demand(most + 4, (most + 4) * PROXY_MB, 3 * max(servers)))
-    began = time.monotonic()
-    own = [{"play": "proxy", "servers": n, **play(n, 1, target.PROXY_PER_S)} for n in servers]
-    theirs = [{"play": "server", "proxies": n, **play(2, n, 3.0 * n)} for n in proxies]
+    args = parser.parse_args()
+    servers, proxies = ([int(n) for n in text.split(",")] for text in (args.servers, args.proxies))
+    most_proxies = max(proxies)
+    limits.require(limits.Demand(most_proxies + 4, (most_proxies + 4) * PROXY_MB, 3 * max(servers)))
+    started_at = time.monotonic()
+    proxy_rows = [{"play": "proxy", "servers": n, **measure(n, 1, target.PROXY_PER_S)} for n in servers]
+    server_rows = [{"play": "server", "proxies": n, **measure(2, n, 3.0 * n)} for n in proxies]
     slopes = [
-        {"play": "proxy", **report.slope(own, "servers", column, target.SERVERS)}
+        {"play": "proxy", **report.slope(proxy_rows, "servers", column, target.SERVERS)}
         for column in ("descriptors", "memory_mb", "core", "opened")
     ]
-    slopes.append({"play": "server", **report.slope(theirs, "proxies", "held", target.SERVERS)})
-    slopes.append({"play": "server", **report.slope(theirs, "proxies", "held", target.SERVICE_SERVERS)})
-    report.write("connections", own + theirs, slopes, time.monotonic() - began, given.out)
+    slopes.append({"play": "server", **report.slope(server_rows, "proxies", "held", target.SERVERS)})
+    slopes.append({"play": "server", **report.slope(server_rows, "proxies", "held", target.SERVICE_SERVERS)})
+    report.write("connections", proxy_rows + server_rows, slopes, time.monotonic() - started_at, args.out)
 
 
 if __name__ == "__main__":
--- a/bench/scale/fit.py
+++ b/bench/scale/fit.py
@@ -1,11 +1,11 @@
-"""How a cost grows with a size: least squares over the measured sizes, the simplest law that fits them."""
+"""Fits how a cost grows with a size: least squares over the measured sizes, the simplest law that fits."""
 
 from typing import NamedTuple
 
 import numpy
 
-SIZES_LEAST = 4  # sizes that a slope is taken over
-SIMPLER_WITHIN = 1.5  # times the least residual up to which a law with fewer terms is taken
+MIN_SIZES = 4  # distinct sizes that a slope requires
+SIMPLER_LAW_FACTOR = 1.5  # a law with fewer terms is preferred up to this multiple of the lowest residual
 
 LAWS = {
     "constant": lambda n: numpy.array([numpy.ones_like(n)]),
@@ -13,12 +13,12 @@
     "linear": lambda n: numpy.array([numpy.ones_like(n), n]),
     "quadratic": lambda n: numpy.array([numpy.ones_like(n), n, n * n]),
 }
-CONSTANT_WITHIN = 0.1  # residual, as a part of the mean, within which a cost counts as not growing
+CONSTANT_MAX_RESIDUAL = 0.1  # residual as a share of the mean, up to which a cost counts as not growing
 
 
 class Fit(NamedTuple):
-    """`terms`: of the law, from the constant up. `residual`: root of the mean square of what the law leaves, as a part
-    of the mean measured value."""
+    """`terms`: coefficients of the law, the constant first. `residual`: root mean square error of the law, as a share of
+    the mean measured value."""
 
     law: str
     terms: tuple
@@ -35,35 +35,37 @@
             "linear": ["{}", "{} n"],
             "quadratic": ["{}", "{} n", "{} n^2"],
         }
-        parts = [form.format(f"{term:.3g}") for form, term in zip(names[self.law], self.terms, strict=True)]
-        return " + ".join(parts) + f", residual {100 * self.residual:.0f}%"
+        formatted_terms = [form.format(f"{term:.3g}") for form, term in zip(names[self.law], self.terms, strict=True)]
+        return " + ".join(formatted_terms) + f", residual {100 * self.residual:.0f}%"
 
 
 class FitError(Exception):
-    """Too few sizes to take a slope over."""
+    """Too few distinct sizes for a slope."""
 
 
-def _fitted(law, sizes, values):
+def _fit_law(law, sizes, values):
     rows = LAWS[law](sizes)
     terms, *_ = numpy.linalg.lstsq(rows.T, values, rcond=None)
-    left = values - terms @ rows
+    errors = values - terms @ rows
     mean = abs(values.mean()) or 1.0
-    return Fit(law, tuple(float(t) for t in terms), float(numpy.sqrt((left**2).mean()) / mean))
+    return Fit(law, tuple(float(t) for t in terms), float(numpy.sqrt((errors**2).mean()) / mean))
 
 
 def fit(sizes, values):
-    """The law of the fewest terms whose residual is near the least. Raises FitError."""
-    if len(set(sizes)) < SIZES_LEAST:
-        raise FitError(f"{len(set(sizes))} sizes, {SIZES_LEAST} are needed for a slope")
+    """The law with the fewest terms whose residual is near the lowest. Raises FitError."""
+    if len(set(sizes)) < MIN_SIZES:
+        raise FitError(f"{len(set(sizes))} sizes, {MIN_SIZES} are needed for a slope")
     sizes, values = numpy.array(sizes, dtype=float), numpy.array(values, dtype=float)
-    laws = ["constant", "logarithmic", "linear"] + ["quadratic"] * (len(set(sizes)) > SIZES_LEAST)
-    found = {law: _fitted(law, sizes, values) for law in laws}
-    if found["constant"].residual <= CONSTANT_WITHIN:
-        return found["constant"]
-    least = min(f.residual for f in found.values())
-    if "quadratic" in found and found["quadratic"].terms[-1] < 0:  # a cost that turns down again is noise
-        del found["quadratic"]
-        least = min(f.residual for f in found.values())
+    laws = ["constant", "logarithmic", "linear"] + ["quadratic"] * (len(set(sizes)) > MIN_SIZES)
+    fits = {law: _fit_law(law, sizes, values) for law in laws}
+    if fits["constant"].residual <= CONSTANT_MAX_RESIDUAL:
+        return fits["constant"]
+    lowest = min(f.residual for f in fits.values())
+    if "quadratic" in fits and fits["quadratic"].terms[-1] < 0:  # costs do not fall with size: the curvature is noise
+        del fits["quadratic"]
+        lowest = min(f.residual for f in fits.values())
     order = ("logarithmic", "linear", "quadratic")
-    near = [found[law] for law in order if law in found and found[law].residual <= max(least * SIMPLER_WITHIN, 0.01)]
-    return min(near, key=lambda f: (len(f.terms), f.residual))
+    candidates = [
+        fits[law] for law in order if law in fits and fits[law].residual <= max(lowest * SIMPLER_LAW_FACTOR, 0.01)
+    ]
+    return min(candidates, key=lambda f: (len(f.terms), f.residual))
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -1,6 +1,6 @@
-"""Hollow members: many members of a fleet in one process, each with a UDP socket of its own and no calls.
+"""Hollow members: many fleet members in one process, each with its own UDP socket and without calls.
 
-Worker processes are told what to do over a pipe; whoever starts them ends them by their ids (`Workers`).
+Worker processes take commands over a pipe; `Workers` starts them and ends exactly those it started.
 """
 
 import contextlib
@@ -16,33 +16,36 @@
 from thorndale.fleet import wire
 from thorndale.fleet.members import ALIVE, DEAD, LEFT, UNKNOWN, Members
 
-S = 1_000_000
+SECOND_US = 1_000_000
 DATAGRAM_BYTES = 2_048
-BATCH = 32  # datagrams taken from one socket at a turn
-COUNTED_EVERY_S = 0.25  # seconds of the members' clock between two counts of what they know
-WALL_S = 1_800_000_000  # what the wall clock says at the start: incarnations begin by it
+RECEIVE_BATCH = 32  # datagrams read from one socket before the next is served
+COUNT_INTERVAL_S = 0.25  # seconds of the members' clock between two counts
+START_WALL_S = 1_800_000_000  # wall clock at the start, from which incarnations are derived
 
 
 class Plan(NamedTuple):
-    """`slow`: the members' clock runs so many times slower than the machine's, so that all members of a large fleet
-    get the processor time that each would have on a machine of its own. `whole`: all know all at the start."""
+    """`slow`: the factor by which the members' clock runs slower than the machine's, so that each member of a large
+    fleet gets the processor time that it would have on its own machine. `whole`: all members know each other at the
+    start."""
 
     members: int
     seed: int = 1
     loss: float = 0.0
     slow: float = 1.0
     whole: bool = True
-    start_spread_us: int = S
+    start_spread_us: int = SECOND_US
 
 
-class Count(NamedTuple):
-    """Of one worker. `known`: pairs of living members of which the first holds the second there; `living`: members
-    that run here; `held_dead`: members of the down set that living ones here hold dead."""
+class WorkerCount(NamedTuple):
+    """Counts of one worker. `known`: pairs in which a living member of this worker lists the other member as present.
+    `least_known`: the fewest that one of them lists. `living`: members that run in this worker. `known_dead`: pairs in
+    which a living member of this worker lists a killed member as dead. `falsely_dead`: how often a member
+    here recorded a running and reachable member as dead."""
 
     known: int
     least_known: int
     living: int
-    held_dead: int
+    known_dead: int
     datagrams: int
     bytes: int
     processor_s: float
@@ -52,7 +55,7 @@
 
 
 class HollowWorker:
-    """The members `own` of the plan's fleet."""
+    """Runs the members numbered `own` of the plan's fleet."""
 
     def __init__(self, plan, own, conn):
         self.plan, self.own, self.conn = plan, own, conn
@@ -60,11 +63,11 @@
         self.names = [f"proxy{n}" for n in range(plan.members)]
         self.sockets, self.by_descriptor = {}, {}
         self.poll = select.epoll()
-        self.members, self.alarms, self.serial = {}, [], 0
-        self.places, self.index = [], {}
-        self.down, self.island = set(), {}
+        self.memberships, self.timers, self.timer_serial = {}, [], 0
+        self.addresses, self.member_at = [], {}
+        self.killed, self.partitions = set(), {}
         self.datagrams = self.bytes = self.falsely_dead = 0
-        self.began = 0.0
+        self.started_at = 0.0
         for member in own:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
@@ -75,79 +78,79 @@
             self.poll.register(sock.fileno(), select.EPOLLIN)
 
     def now(self):
-        return int((time.monotonic() - self.began) * S / self.plan.slow)
+        return int((time.monotonic() - self.started_at) * SECOND_US / self.plan.slow)
 
     def start(self, member, at):
-        incarnation = (WALL_S + at // S) << 16
+        incarnation = (START_WALL_S + at // SECOND_US) << 16
         seed, born = self.random.getrandbits(64), self.random.getrandbits(32)
-        made = Members(self.names, member, seed, at, born, incarnation)
+        membership = Members(self.names, member, seed, at, born, incarnation)
         if self.plan.whole and at == 0:
             for other in range(self.plan.members):
                 if other != member:
-                    made.state[other], made.incarnation[other] = ALIVE, WALL_S << 16
-            made.updates.clear()
-            made.periods = 1_000
-        self.members[member] = made
-        self._alarm(member, made)
+                    membership.state[other], membership.incarnation[other] = ALIVE, START_WALL_S << 16
+            membership.updates.clear()
+            membership.periods = 1_000
+        self.memberships[member] = membership
+        self._schedule_timer(member, membership)
 
-    def _alarm(self, member, made):
-        self.serial += 1
-        heapq.heappush(self.alarms, (made.next_at(), self.serial, member, made))
+    def _schedule_timer(self, member, membership):
+        self.timer_serial += 1
+        heapq.heappush(self.timers, (membership.next_at(), self.timer_serial, member, membership))
 
-    def _send(self, member, out):
+    def _send(self, member, datagrams_out):
         sock = self.sockets[member]
-        for to, datagram in out:
+        for to, datagram in datagrams_out:
             data = wire.encode(datagram)
             self.datagrams += 1
             self.bytes += len(data)
             with contextlib.suppress(OSError):
-                sock.sendto(data, self.places[to])
+                sock.sendto(data, self.addresses[to])
 
-    def _received(self, member):
-        sock, made = self.sockets[member], self.members.get(member)
-        for _ in range(BATCH):
+    def _receive_batch(self, member):
+        sock, membership = self.sockets[member], self.memberships.get(member)
+        for _ in range(RECEIVE_BATCH):
             try:
-                data, place = sock.recvfrom(DATAGRAM_BYTES)
+                data, address = sock.recvfrom(DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            sender = self.index[place]
-            apart = self.island.get(sender, 0) != self.island.get(member, 0)
-            if made is None or apart or self.random.random() < self.plan.loss:
+            sender = self.member_at[address]
+            partitioned = self.partitions.get(sender, 0) != self.partitions.get(member, 0)
+            if membership is None or partitioned or self.random.random() < self.plan.loss:
                 continue
-            self._send(member, made.receive(self.now(), wire.decode(data), sender))
-            self._changed(made)
+            self._send(member, membership.receive(self.now(), wire.decode(data), sender))
+            self._count_false_deaths(membership)
 
-    def _changed(self, made):
-        for _, about, what, _ in made.changes:
-            apart = self.island.get(about, 0) != self.island.get(made.own, 0)
-            self.falsely_dead += what == "dead" and about not in self.down and not apart
-        made.changes.clear()
+    def _count_false_deaths(self, membership):
+        for _, about, change, _ in membership.changes:
+            partitioned = self.partitions.get(about, 0) != self.partitions.get(membership.own, 0)
+            self.falsely_dead += change == "dead" and about not in self.killed and not partitioned
+        membership.changes.clear()
 
-    def _due(self):
+    def _run_due_timers(self):
         now = self.now()
-        while self.alarms and self.alarms[0][0] <= now:
-            _, _, member, made = heapq.heappop(self.alarms)
-            if self.members.get(member) is not made:
+        while self.timers and self.timers[0][0] <= now:
+            _, _, member, membership = heapq.heappop(self.timers)
+            if self.memberships.get(member) is not membership:
                 continue
-            if made.next_at() <= now:
-                self._send(member, made.tick(now))
-                self._changed(made)
-            self._alarm(member, made)
+            if membership.next_at() <= now:
+                self._send(member, membership.tick(now))
+                self._count_false_deaths(membership)
+            self._schedule_timer(member, membership)
 
     def count(self):
-        known, least, held_dead = 0, self.plan.members, 0
-        living = [m for m in self.members if m not in self.down]
+        known, least, known_dead = 0, self.plan.members, 0
+        living = [m for m in self.memberships if m not in self.killed]
         for member in living:
-            state = self.members[member].state
-            there = sum(1 for s in state if s not in (DEAD, LEFT, UNKNOWN))
-            known, least = known + there, min(least, there)
-            held_dead += sum(1 for m in self.down if state[m] in (DEAD, LEFT))
+            state = self.memberships[member].state
+            known_here = sum(1 for s in state if s not in (DEAD, LEFT, UNKNOWN))
+            known, least = known + known_here, min(least, known_here)
+            known_dead += sum(1 for m in self.killed if state[m] in (DEAD, LEFT))
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        return Count(
+        return WorkerCount(
             known,
             least,
             len(living),
-            held_dead,
+            known_dead,
             self.datagrams,
             self.bytes,
             usage.ru_utime + usage.ru_stime,
@@ -157,69 +160,70 @@
         )
 
     def run(self):
-        """Carries out what the pipe tells: (what, value), until 'close' or the pipe's end."""
+        """Executes the commands (command, value) from the pipe until 'close' or the end of the pipe."""
         self.conn.send([self.sockets[m].getsockname() for m in self.own])
         while True:
-            for descriptor, _ in self.poll.poll(0.002) if self.began else ():
-                self._received(self.by_descriptor[descriptor])
-            self._due()
-            if not self.conn.poll(0 if self.began else None):
+            for descriptor, _ in self.poll.poll(0.002) if self.started_at else ():
+                self._receive_batch(self.by_descriptor[descriptor])
+            self._run_due_timers()
+            if not self.conn.poll(0 if self.started_at else None):
                 continue
-            what, value = self.conn.recv()
-            if what == "close":
+            command, value = self.conn.recv()
+            if command == "close":
                 return
-            self.conn.send(self.told(what, value))
-
-    def told(self, what, value):
-        if what == "places":
-            self.places, self.index = value, {tuple(place): n for n, place in enumerate(value)}
-        elif what == "begin":
-            self.began = value
+            self.conn.send(self.execute(command, value))
+
+    def execute(self, command, value):
+        """Executes one command and returns the worker's counts after it."""
+        if command == "places":
+            self.addresses, self.member_at = value, {tuple(address): n for n, address in enumerate(value)}
+        elif command == "begin":
+            self.started_at = value
             for member in self.own:
                 self.start(member, 0)
                 if not self.plan.whole:
-                    self.members[member].period_at = int(self.plan.start_spread_us * self.random.random())
-                    self._alarm(member, self.members[member])
-        elif what == "kill":
-            self.down |= set(value)
+                    self.memberships[member].period_at = int(self.plan.start_spread_us * self.random.random())
+                    self._schedule_timer(member, self.memberships[member])
+        elif command == "kill":
+            self.killed |= set(value)
             for member in value:
-                self.members.pop(member, None)
-        elif what == "restart":
-            self.down -= set(value)
+                self.memberships.pop(member, None)
+        elif command == "restart":
+            self.killed -= set(value)
             for member in value:
                 if member in self.sockets:
                     self.start(member, self.now())
-        elif what == "islands":
-            self.island = value
+        elif command == "islands":
+            self.partitions = value
         return self.count()
 
 
-def _work(plan, own, conn):
+def _run_worker(plan, own, conn):
     with contextlib.suppress(EOFError, KeyboardInterrupt):
         HollowWorker(plan, own, conn).run()
 
 
 class Workers:
-    """The processes of one play; `with` ends them, whatever happens. `foreign`: {member: (host, port)} of members that
-    are no hollow ones."""
+    """The worker processes of one run; leaving the `with` block ends them, also after an error. `foreign`:
+    {member: (host, port)} of the members that are not hollow."""
 
     def __init__(self, plan, processes, foreign=None):
         self.plan, self.conns, self.processes = plan, [], []
         context = multiprocessing.get_context("spawn")
-        self.places = [(foreign or {}).get(member) for member in range(plan.members)]
-        hollow = [member for member, place in enumerate(self.places) if place is None]
-        shares = [hollow[n::processes] for n in range(processes)]
-        for own in shares:
-            ours, theirs = context.Pipe()
-            process = context.Process(target=_work, args=(plan, own, theirs), daemon=True)
+        self.addresses = [(foreign or {}).get(member) for member in range(plan.members)]
+        hollow = [member for member, address in enumerate(self.addresses) if address is None]
+        assignments = [hollow[n::processes] for n in range(processes)]
+        for own in assignments:
+            parent_conn, worker_conn = context.Pipe()
+            process = context.Process(target=_run_worker, args=(plan, own, worker_conn), daemon=True)
             process.start()
-            theirs.close()
-            self.conns.append(ours)
+            worker_conn.close()
+            self.conns.append(parent_conn)
             self.processes.append(process)
-        for own, conn in zip(shares, self.conns, strict=True):
-            for member, place in zip(own, conn.recv(), strict=True):
-                self.places[member] = place
-        self.tell("places", self.places)
+        for own, conn in zip(assignments, self.conns, strict=True):
+            for member, address in zip(own, conn.recv(), strict=True):
+                self.addresses[member] = address
+        self.command("places", self.addresses)
 
     def __enter__(self):
         return self
@@ -234,28 +238,29 @@
                 process.terminate()
                 process.join()
 
-    def tell(self, what, value=None):
-        """The counts of all workers after it was done."""
+    def command(self, name, value=None):
+        """Sends a command to all workers; returns the counts of each after it has executed the command."""
         for conn in self.conns:
-            conn.send((what, value))
+            conn.send((name, value))
         return [conn.recv() for conn in self.conns]
 
     def begin(self):
-        return self.tell("begin", time.monotonic())
+        return self.command("begin", time.monotonic())
 
     def wait(self, seconds):
-        """Seconds of the members' clock."""
+        """Waits this many seconds of the members' clock; returns the counts after it."""
         time.sleep(seconds * self.plan.slow)
-        return self.tell("count")
+        return self.command("count")
 
-    def until(self, done, most_s):
-        """(seconds of the members' clock until `done(counts)`, None at `most_s`; the last counts)."""
-        counts = self.tell("count")
-        began = counts[0].time_us
+    def until(self, done, timeout_s):
+        """Waits until `done(counts)` is true. Returns the seconds of the members' clock that this took, or None after
+        `timeout_s`, and the last counts."""
+        counts = self.command("count")
+        start_us = counts[0].time_us
         while True:
-            passed = (counts[0].time_us - began) / S
+            elapsed_s = (counts[0].time_us - start_us) / SECOND_US
             if done(counts):
-                return round(passed, 2), counts
-            if passed > most_s:
+                return round(elapsed_s, 2), counts
+            if elapsed_s > timeout_s:
                 return None, counts
-            counts = self.wait(COUNTED_EVERY_S)
+            counts = self.wait(COUNT_INTERVAL_S)
--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -1,19 +1,19 @@
-"""What a scale test may take of this machine: it refuses before anything starts, and names the limit."""
+"""Limits on what a scale test may use of this machine, checked before the test starts anything."""
 
 import resource
 from typing import NamedTuple
 
-PROCESSES_MOST = 300
-MEMORY_MOST_MB = 16_000
-DESCRIPTORS_KEPT = 64  # of each process, for its pipes, its log and the interpreter
+MAX_PROCESSES = 300
+MAX_MEMORY_MB = 16_000
+RESERVED_DESCRIPTORS = 64  # reserved in each process for its pipes, its log and the interpreter
 
 
 class MachineLimitError(Exception):
-    """The test asks for more than the machine, or these tests' own bound, allows; the text names the limit."""
+    """The test needs more than the machine, or the bound of the scale tests, allows; the message names the limit."""
 
 
 class Demand(NamedTuple):
-    """What a test will hold at its most. `sockets`: of the process that holds the most."""
+    """Peak use of a test. `sockets`: those of the process with the most."""
 
     processes: int
     memory_mb: float
@@ -27,21 +27,21 @@
 
 
 def machine():
-    """What is free now."""
+    """What is available now: the free memory, and at most the bounds above."""
     with open("/proc/meminfo", encoding="ascii") as file:
         rows = dict(line.split(":") for line in file)
     available_mb = int(rows["MemAvailable"].split()[0]) / 1024
     descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return Machine(PROCESSES_MOST, min(MEMORY_MOST_MB, available_mb), descriptors)
+    return Machine(MAX_PROCESSES, min(MAX_MEMORY_MB, available_mb), descriptors)
 
 
 def require(demand, allowed=None):
-    """Raises MachineLimitError where the demand is over a limit."""
+    """Raises MachineLimitError if the demand exceeds a limit."""
     allowed = allowed or machine()
     if demand.processes > allowed.processes:
-        raise MachineLimitError(f"{demand.processes} processes are asked for, {allowed.processes} are allowed")
+        raise MachineLimitError(f"{demand.processes} processes are requested, {allowed.processes} are allowed")
     if demand.memory_mb > allowed.memory_mb:
-        raise MachineLimitError(f"{demand.memory_mb:.0f} MB are asked for, {allowed.memory_mb:.0f} MB are allowed")
-    needed = demand.sockets + DESCRIPTORS_KEPT
+        raise MachineLimitError(f"{demand.memory_mb:.0f} MB are requested, {allowed.memory_mb:.0f} MB are allowed")
+    needed = demand.sockets + RESERVED_DESCRIPTORS
     if needed > allowed.descriptors:
-        raise MachineLimitError(f"{needed} descriptors a process are asked for, {allowed.descriptors} are allowed")
+        raise MachineLimitError(f"{needed} descriptors a process are requested, {allowed.descriptors} are allowed")
--- a/bench/scale/membership.py
+++ b/bench/scale/membership.py
@@ -1,9 +1,12 @@
-"""Membership by the number of members: hollow members on real sockets. `python -m bench.scale.membership [--out FILE]`
+"""Cost and convergence of fleet membership by the number of members, with hollow members on real sockets.
 
-Each play starts a fleet anew. `cold`: everybody starts within a second and knows nobody. The others begin with a
-fleet in which all know all: `steady` (cost and false deaths by loss), `one`, `rack` and `zone` (members killed at
-once, known dead by all, restarted, known by all; `stale_dead`: held dead on old news after the restart), `cut` (a third cut off for 20 s, and healed). Plays
-go on side by side, up to a number of members in all.
+    python -m bench.scale.membership [--sizes 100,200,400,800,1400] [--plays cold,steady,one,rack,zone,cut] [--out FILE]
+
+Each play starts a new fleet. `cold`: all members start within a second and know no other. The other plays start with a
+fleet in which all know each other. `steady`: cost and members falsely recorded as dead, by datagram loss. `one`, `rack` and
+`zone`: members are killed at the same time until all others list them as dead, then restarted until all list them again
+(`stale_dead`: recorded as dead from outdated updates after the restart). `cut`: a third of the members is partitioned for
+20 s, then reconnected. Plays run in parallel, up to a total number of members.
 """
 
 import argparse
@@ -16,20 +19,21 @@
 
 SIZES = (100, 200, 400, 800, 1400)
 LOSSES = (0.0, 0.01, 0.1)
-AT_ONCE = 2_400  # members of all plays that go on at one time: what eight cores carry
-PROCESS_MEMBERS = 200  # of one process
-MEMBER_MB = 0.3  # of a hollow member at the target size
-PROCESS_MB = 60
-COLD_MOST_S, KNOWN_MOST_S, CUT_S, STEADY_S = 60.0, 45.0, 20.0, 10.0
-SLOW_OVER = 700  # members on this machine from which the clock of a cold start is slowed
+MAX_MEMBERS_AT_ONCE = 2_400  # members of all plays that run at one time; eight cores carry as many
+PROCESS_MEMBERS = 200  # hollow members in one worker process
+MEMBER_MB = 0.3  # resident memory of a hollow member at the target size
+PROCESS_MB = 60  # resident memory of a worker process without members
+JOIN_TIMEOUT_S, CONVERGENCE_TIMEOUT_S, PARTITION_S, STEADY_S = 60.0, 45.0, 20.0, 10.0
+FULL_SPEED_MEMBERS = 700  # with more members, a cold start runs on a slowed clock for want of processor time
 
 
-def everybody(plan):
+def all_known_to_all(plan):
+    """Condition for `Workers.until`: each living member lists every member as present."""
     return lambda counts: sum(c.known for c in counts) == sum(c.living for c in counts) * plan.members
 
 
-def cost(before, after, plan):
-    """A member's datagrams, bytes and processor time a second of its clock."""
+def member_cost(before, after, plan):
+    """Datagrams, bytes and processor time of one member per second of its clock."""
     seconds = (after[0].time_us - before[0].time_us) / 1e6
     total = plan.members * seconds
 
@@ -43,41 +47,41 @@
     }
 
 
-def cold(plan):
+def run_cold_start(plan):
     with Workers(plan, -(-plan.members // PROCESS_MEMBERS)) as workers:
         before = workers.begin()
-        joined, counts = workers.until(everybody(plan), COLD_MOST_S)
+        joined_s, counts = workers.until(all_known_to_all(plan), JOIN_TIMEOUT_S)
         known = sum(c.known for c in counts) / plan.members
-        return {"joined_s": joined, "known_at_end": round(known, 1), **cost(before, counts, plan)}
+        return {"joined_s": joined_s, "known_at_end": round(known, 1), **member_cost(before, counts, plan)}
 
 
-def steady(plan):
+def run_steady(plan):
     with Workers(plan, -(-plan.members // PROCESS_MEMBERS)) as workers:
         workers.begin()
         before = workers.wait(2.0)
         after = workers.wait(STEADY_S)
-        empty_kb = min(c.memory_kb for c in after)
+        smallest_kb = min(c.memory_kb for c in after)
         return {
-            **cost(before, after, plan),
-            "process_mb": round(empty_kb / 1024, 1),
+            **member_cost(before, after, plan),
+            "process_mb": round(smallest_kb / 1024, 1),
             "falsely_dead": sum(c.falsely_dead for c in after),
         }
 
 
-def killed(plan, count):
+def run_kill(plan, count):
     group = list(range(count))
     with Workers(plan, -(-plan.members // PROCESS_MEMBERS)) as workers:
         workers.begin()
         workers.wait(2.0)
-        workers.tell("kill", group)
+        workers.command("kill", group)
 
-        def all_know(counts):
-            return sum(c.held_dead for c in counts) == count * sum(c.living for c in counts)
+        def all_know_deaths(counts):
+            return sum(c.known_dead for c in counts) == count * sum(c.living for c in counts)
 
-        dead_s, counts = workers.until(all_know, KNOWN_MOST_S)
+        dead_s, counts = workers.until(all_know_deaths, CONVERGENCE_TIMEOUT_S)
         falsely_dead = sum(c.falsely_dead for c in counts)
-        workers.tell("restart", group)
-        back_s, counts = workers.until(everybody(plan), KNOWN_MOST_S)
+        workers.command("restart", group)
+        back_s, counts = workers.until(all_known_to_all(plan), CONVERGENCE_TIMEOUT_S)
         known = sum(c.known for c in counts) / plan.members
         return {
             "killed": count,
@@ -89,60 +93,60 @@
         }
 
 
-def cut(plan):
-    island = {member: 1 for member in range(0, plan.members, target.REGIONS)}
+def run_partition(plan):
+    partitions = {member: 1 for member in range(0, plan.members, target.REGIONS)}
     with Workers(plan, -(-plan.members // PROCESS_MEMBERS)) as workers:
         workers.begin()
         workers.wait(2.0)
-        workers.tell("islands", island)
-        workers.wait(CUT_S)
-        workers.tell("islands", {})
-        healed_s, counts = workers.until(everybody(plan), KNOWN_MOST_S)
+        workers.command("islands", partitions)
+        workers.wait(PARTITION_S)
+        workers.command("islands", {})
+        healed_s, counts = workers.until(all_known_to_all(plan), CONVERGENCE_TIMEOUT_S)
         known = sum(c.known for c in counts) / plan.members
-        return {"cut_off": len(island), "healed_s": healed_s, "known_at_end": round(known, 1)}
+        return {"cut_off": len(partitions), "healed_s": healed_s, "known_at_end": round(known, 1)}
 
 
 def plays(sizes):
     for members in sizes:
-        slow = max(1.0, members / SLOW_OVER)
-        yield "cold", Plan(members, slow=slow, whole=False), cold
+        slow = max(1.0, members / FULL_SPEED_MEMBERS)
+        yield "cold", Plan(members, slow=slow, whole=False), run_cold_start
         for loss in LOSSES:
-            yield "steady", Plan(members, loss=loss), steady
+            yield "steady", Plan(members, loss=loss), run_steady
         groups = {"one": 1, "rack": target.RACK_SERVERS, "zone": -(-members // target.ZONES)}
         for name, count in groups.items():
             if count < members / 2:
-                yield name, Plan(members), lambda plan, count=count: killed(plan, count)
-        yield "cut", Plan(members), cut
+                yield name, Plan(members), lambda plan, count=count: run_kill(plan, count)
+        yield "cut", Plan(members), run_partition
 
 
-class Room:
-    """Members that may go on at one time."""
+class MemberSlots:
+    """Limits the members of all plays that run at one time."""
 
     def __init__(self, members):
-        self.free, self.changed = members, threading.Condition()
+        self.free, self.condition = members, threading.Condition()
 
     def run(self, name, plan, play):
-        with self.changed:
-            self.changed.wait_for(lambda: self.free >= plan.members)
+        with self.condition:
+            self.condition.wait_for(lambda: self.free >= plan.members)
             self.free -= plan.members
         try:
-            found, seconds = report.timed(play, plan)
+            result, seconds = report.timed(play, plan)
         finally:
-            with self.changed:
+            with self.condition:
                 self.free += plan.members
-                self.changed.notify_all()
-        row = {"play": name, "members": plan.members, "loss": plan.loss, "slow": plan.slow, **found}
+                self.condition.notify_all()
+        row = {"play": name, "members": plan.members, "loss": plan.loss, "slow": plan.slow, **result}
         print(row, flush=True)
         return {**row, "seconds": round(seconds, 1)}
 
 
 def slopes(rows):
-    found = []
+    fits = []
 
     def add(play, loss, column):
-        own = [r for r in rows if r["play"] == play and r["loss"] == loss and r.get(column) is not None]
-        if len({r["members"] for r in own}) > 3:
-            found.append({"play": play, "loss": loss, **report.slope(own, "members", column, target.SERVERS)})
+        matching = [r for r in rows if r["play"] == play and r["loss"] == loss and r.get(column) is not None]
+        if len({r["members"] for r in matching}) > 3:
+            fits.append({"play": play, "loss": loss, **report.slope(matching, "members", column, target.SERVERS)})
 
     add("cold", 0.0, "joined_s")
     for column in ("datagrams_per_s", "bytes_per_s", "core_part"):
@@ -153,7 +157,7 @@
         add(play, 0.0, "known_dead_s")
         add(play, 0.0, "known_back_s")
     add("cut", 0.0, "healed_s")
-    return found
+    return fits
 
 
 def main():
@@ -161,17 +165,17 @@
     parser.add_argument("--sizes", default=",".join(map(str, SIZES)))
     parser.add_argument("--plays", default="cold,steady,one,rack,zone,cut")
     parser.add_argument("--out", default="")
-    given = parser.parse_args()
-    sizes, wanted = [int(n) for n in given.sizes.split(",")], given.plays.split(",")
-    most = max(sizes)
-    at_once = max(AT_ONCE, most)
+    args = parser.parse_args()
+    sizes, selected = [int(n) for n in args.sizes.split(",")], args.plays.split(",")
+    largest = max(sizes)
+    at_once = max(MAX_MEMBERS_AT_ONCE, largest)
     processes = at_once // PROCESS_MEMBERS + len(sizes)
     limits.require(limits.Demand(processes, processes * PROCESS_MB + at_once * MEMBER_MB, PROCESS_MEMBERS))
-    began, room = time.monotonic(), Room(at_once)
-    jobs = [job for job in plays(sorted(sizes, reverse=True)) if job[0] in wanted]
+    started_at, slots = time.monotonic(), MemberSlots(at_once)
+    jobs = [job for job in plays(sorted(sizes, reverse=True)) if job[0] in selected]
     with ThreadPoolExecutor(len(jobs)) as pool:
-        rows = list(pool.map(lambda job: room.run(*job), jobs))
-    report.write("membership", rows, slopes(rows), time.monotonic() - began, given.out)
+        rows = list(pool.map(lambda job: slots.run(*job), jobs))
+    report.write("membership", rows, slopes(rows), time.monotonic() - started_at, args.out)
 
 
 if __name__ == "__main__":
--- a/bench/scale/report.py
+++ b/bench/scale/report.py
@@ -1,4 +1,4 @@
-"""What a scale test leaves: one JSON file in docs/bench/, read by `bench.scale.capacity`."""
+"""Writes the result of a scale test: one JSON file in docs/bench/, read by `bench.scale.capacity`."""
 
 import json
 import os
@@ -9,32 +9,32 @@
 from bench.scale.fit import fit
 from bench.scale.limits import MachineLimitError
 
-FOLDER = Path(__file__).resolve().parents[2] / "docs" / "bench"
-REFUSED = 2  # exit code where the machine does not allow the test
+RESULTS_FOLDER = Path(__file__).resolve().parents[2] / "docs" / "bench"
+EXIT_REFUSED = 2  # exit code if the machine does not allow the test
 
 
-def path_of(name, folder=FOLDER):
+def result_path(name, folder=RESULTS_FOLDER):
     return Path(folder) / f"scale-{name}.json"
 
 
 def slope(rows, size, value, target):
-    """The fit of one column against another, with the value at the target size."""
-    found = fit([row[size] for row in rows], [row[value] for row in rows])
+    """The fit of the column `value` against the column `size`, with the fitted value at the target size."""
+    fitted = fit([row[size] for row in rows], [row[value] for row in rows])
     return {
         "of": value,
         "by": size,
-        "law": found.law,
-        "terms": found.terms,
-        "residual": round(found.residual, 4),
+        "law": fitted.law,
+        "terms": fitted.terms,
+        "residual": round(fitted.residual, 4),
         "target": target,
-        "at_target": round(found.at(target), 6),
-        "text": found.text(),
+        "at_target": round(fitted.at(target), 6),
+        "text": fitted.text(),
     }
 
 
 def write(name, rows, slopes, seconds, out="", **more):
-    """Writes the file whole or not at all, and says where."""
-    path = Path(out) if out else path_of(name)
+    """Writes the result file atomically, and prints its name."""
+    path = Path(out) if out else result_path(name)
     content = {
         "test": name,
         "command": " ".join(["python -m", f"bench.scale.{name}", *sys.argv[1:]]),
@@ -45,22 +45,22 @@
         "slopes": slopes,
         "rows": rows,
     }
-    half = path.with_suffix(".half")
-    half.write_text(json.dumps(content, indent=0) + "\n", encoding="utf-8")
-    half.replace(path)
+    temporary = path.with_suffix(".half")
+    temporary.write_text(json.dumps(content, indent=0) + "\n", encoding="utf-8")
+    temporary.replace(path)
     print(f"{path.name}: {len(rows)} rows in {seconds:.0f} s")
 
 
 def run(main):
-    """Runs a test's `main()`; one plain line and exit code 2 where the machine does not allow it."""
+    """Runs a test's `main()`; prints one line and exits with code 2 if the machine does not allow the test."""
     try:
         main()
-    except MachineLimitError as fault:
-        print(f"refused before anything was started: {fault}", file=sys.stderr)
-        sys.exit(REFUSED)
+    except MachineLimitError as error:
+        print(f"refused, nothing was started: {error}", file=sys.stderr)
+        sys.exit(EXIT_REFUSED)
 
 
 def timed(play, job):
-    """play(job) and the seconds it took."""
-    began = time.monotonic()
-    return play(job), time.monotonic() - began
+    """Returns play(job) and the seconds it took."""
+    started_at = time.monotonic()
+    return play(job), time.monotonic() - started_at
