--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the real border proxy, kept as tables and charts in docs/bench."""
+"""Benchmarks of the border proxy and its emulator; tables and charts go to docs/bench."""
--- a/bench/ends.py
+++ b/bench/ends.py
@@ -1,7 +1,8 @@
-"""Both ends of a call made as cheap as they can be, in processes of their own: a caller at a fixed rate, a box that
-answers at once, and a bare relay that passes the same datagrams without a look at them.
+"""Minimal call ends for benchmarks, each in its own process: a caller at a fixed rate, a server stand-in that answers
+at once, and a bare relay that forwards datagrams without reading them.
 
-Messages are templates; what comes is searched, not parsed. One socket each, UDP or TCP.
+Their own cost has to be small beside that of the proxy, so messages are sent from templates, received messages are
+searched for fields and not parsed, and each end uses one socket, UDP or TCP.
 """
 
 import asyncio
@@ -14,20 +15,20 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-REPEAT_S = 0.5  # RFC 3261's T1
-LOSE_S = 8.0  # an INVITE without a final answer after it is lost
+RETRANSMIT_AFTER_S = 0.5  # T1 of RFC 3261
+LOST_AFTER_S = 8.0  # an INVITE counts as lost without a final answer after this time
 SDP = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 9 RTP/AVP 0\r\n"
 
 
-class Wire:
-    """One socket that gives whole messages: datagrams, or a stream cut by Content-Length."""
+class MessageSocket:
+    """One socket that yields whole messages: datagrams, or a stream split by Content-Length."""
 
     def __init__(self, transport, sock, peer=None):
-        self.stream, self.sock, self.peer, self.held = transport == "tcp", sock, peer, bytearray()
+        self.is_stream, self.sock, self.peer, self.buffer = transport == "tcp", sock, peer, bytearray()
         sock.setblocking(False)
 
     def send(self, data, to=None):
-        if not self.stream:
+        if not self.is_stream:
             self.sock.sendto(data, to or self.peer)
             return
         view = memoryview(data)
@@ -38,36 +39,36 @@
                 select.select([], [self.sock], [], 1)
 
     def read(self):
-        """(message, from) pairs that are there."""
-        out = []
-        if not self.stream:
+        """Returns the (message, sender) pairs that can be read without waiting."""
+        messages = []
+        if not self.is_stream:
             for _ in range(256):
                 try:
-                    out.append(self.sock.recvfrom(65535))
+                    messages.append(self.sock.recvfrom(65535))
                 except BlockingIOError:
                     break
-            return out
+            return messages
         try:
-            self.held += self.sock.recv(262144)
+            self.buffer += self.sock.recv(262144)
         except BlockingIOError:
-            return out
-        while (end := self.held.find(b"\r\n\r\n")) >= 0:
-            at = self.held.find(b"Content-Length: ", 0, end + 2)
-            size = end + 4 + int(self.held[at + 16 : self.held.find(b"\r", at)])
-            if len(self.held) < size:
+            return messages
+        while (end := self.buffer.find(b"\r\n\r\n")) >= 0:
+            length_at = self.buffer.find(b"Content-Length: ", 0, end + 2)
+            size = end + 4 + int(self.buffer[length_at + 16 : self.buffer.find(b"\r", length_at)])
+            if len(self.buffer) < size:
                 break
-            out.append((bytes(self.held[:size]), None))
-            del self.held[:size]
-        return out
+            messages.append((bytes(self.buffer[:size]), None))
+            del self.buffer[:size]
+        return messages
 
 
-def field(data, name):
+def header_line(data, name):
     at = data.find(b"\r\n" + name) + 2
     return data[at : data.find(b"\r\n", at)]
 
 
-def box(transport, port, fail_each, seconds):
-    """Answers each INVITE at once with 100 and 200; each `fail_each`-th with 500."""
+def run_server(transport, port, fail_each, seconds):
+    """Server stand-in: answers each INVITE at once with 100 and 200, and each `fail_each`-th one with 500."""
     if transport == "tcp":
         listener = socket.create_server(("127.0.0.1", port))
         print("ready", flush=True)
@@ -78,182 +79,186 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
         sock.bind(("127.0.0.1", port))
         print("ready", flush=True)
-    wire, invites, end = Wire(transport, sock), 0, time.monotonic() + seconds
-    tail = ";transport=tcp" if transport == "tcp" else ""
-    contact = f"Contact: <sip:127.0.0.1:{port}{tail}>\r\n"
-    ok = f"{contact}X-Load: free=900;lines=1000;wait=1\r\nContent-Type: application/sdp\r\nContent-Length: {len(SDP)}\r\n\r\n{SDP}"
-    while time.monotonic() < end:
+    message_socket, invites, deadline = MessageSocket(transport, sock), 0, time.monotonic() + seconds
+    uri_transport = ";transport=tcp" if transport == "tcp" else ""
+    contact = f"Contact: <sip:127.0.0.1:{port}{uri_transport}>\r\n"
+    ok_headers = f"{contact}X-Load: free=900;lines=1000;wait=1\r\nContent-Type: application/sdp\r\nContent-Length: {len(SDP)}\r\n\r\n{SDP}"
+    while time.monotonic() < deadline:
         select.select([sock], [], [], 0.2)
-        for data, source in wire.read():
+        for data, source in message_socket.read():
             if data[:4] == b"ACK ":
                 continue
-            head = (
+            copied_headers = (
                 b"\r\n".join(
                     (
-                        field(data, b"Via"),
-                        field(data, b"From"),
-                        field(data, b"To"),
-                        field(data, b"Call-ID"),
-                        field(data, b"CSeq"),
+                        header_line(data, b"Via"),
+                        header_line(data, b"From"),
+                        header_line(data, b"To"),
+                        header_line(data, b"Call-ID"),
+                        header_line(data, b"CSeq"),
                     )
                 )
                 + b"\r\n"
             )
             if data[:6] == b"INVITE":
                 invites += 1
-                wire.send(b"SIP/2.0 100 Trying\r\n" + head + b"Content-Length: 0\r\n\r\n", source)
-                tagged = head.replace(b"\r\nCall-ID", b";tag=b%d\r\nCall-ID" % invites, 1)
+                message_socket.send(b"SIP/2.0 100 Trying\r\n" + copied_headers + b"Content-Length: 0\r\n\r\n", source)
+                tagged = copied_headers.replace(b"\r\nCall-ID", b";tag=b%d\r\nCall-ID" % invites, 1)
                 if fail_each and invites % fail_each == 0:
-                    wire.send(b"SIP/2.0 500 Server Error\r\n" + tagged + b"Content-Length: 0\r\n\r\n", source)
+                    message_socket.send(b"SIP/2.0 500 Server Error\r\n" + tagged + b"Content-Length: 0\r\n\r\n", source)
                 else:
-                    wire.send(b"SIP/2.0 200 OK\r\n" + tagged + ok.encode(), source)
+                    message_socket.send(b"SIP/2.0 200 OK\r\n" + tagged + ok_headers.encode(), source)
             elif data[:4] == b"BYE ":
-                wire.send(b"SIP/2.0 200 OK\r\n" + head + b"Content-Length: 0\r\n\r\n", source)
+                message_socket.send(b"SIP/2.0 200 OK\r\n" + copied_headers + b"Content-Length: 0\r\n\r\n", source)
 
 
-def caller(transport, to, rate, calls, hold, base, window=1 << 30):
-    """Places `calls` calls at `rate` a second, at most `window` of them not answered at once; with `hold` they stand until told by a line on standard input.
+def run_caller(transport, target_port, rate, calls, hold_calls, call_id_prefix, max_unanswered=1 << 30):
+    """Places `calls` calls at `rate` per second with at most `max_unanswered` transactions open.
 
-    Prints one JSON line: stood, failed, lost, repeated, seconds, and the set-up times in microseconds.
+    With `hold_calls` the answered calls stay established until a line arrives on standard input. Prints one JSON line:
+    stood (answered), failed, lost, repeated (retransmitted), ended, seconds, and set-up times in microseconds.
     """
     if transport == "tcp":
-        sock = socket.create_connection(("127.0.0.1", to))
+        sock = socket.create_connection(("127.0.0.1", target_port))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     else:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
         sock.bind(("127.0.0.1", 0))
     port = sock.getsockname()[1]
-    wire, wave = Wire(transport, sock, ("127.0.0.1", to)), HdrHistogram(1, 60_000_000, 3)
-    tail = ";transport=tcp" if transport == "tcp" else ""
+    message_socket, setup_times_us = (
+        MessageSocket(transport, sock, ("127.0.0.1", target_port)),
+        HdrHistogram(1, 60_000_000, 3),
+    )
+    uri_transport = ";transport=tcp" if transport == "tcp" else ""
     via = f"Via: SIP/2.0/{transport.upper()} 127.0.0.1:{port};branch=z9hG4bK"
-    out, waiting, standing = {}, {}, []
-    count = {"stood": 0, "failed": 0, "lost": 0, "repeated": 0, "ended": 0}
+    open_invites, open_byes, established = {}, {}, []
+    counts = {"stood": 0, "failed": 0, "lost": 0, "repeated": 0, "ended": 0}
     sent, began = 0, time.perf_counter()
-    next_look = began
+    next_timer_check = began
 
     def request(method, n, to_line, uri, seq, branch):
         return (
-            f"{method} {uri} SIP/2.0\r\n{via}{branch}{base}{n}\r\nMax-Forwards: 70\r\n"
-            f"From: <sip:+22177{n:07d}@127.0.0.1>;tag=c{base}{n}\r\n{to_line}\r\nCall-ID: {base}{n}\r\n"
-            f"CSeq: {seq} {method}\r\nContact: <sip:c@127.0.0.1:{port}{tail}>\r\n"
+            f"{method} {uri} SIP/2.0\r\n{via}{branch}{call_id_prefix}{n}\r\nMax-Forwards: 70\r\n"
+            f"From: <sip:+22177{n:07d}@127.0.0.1>;tag=c{call_id_prefix}{n}\r\n{to_line}\r\nCall-ID: {call_id_prefix}{n}\r\n"
+            f"CSeq: {seq} {method}\r\nContact: <sip:c@127.0.0.1:{port}{uri_transport}>\r\n"
         )
 
     def bye(n, to_line, uri):
         data = (request("BYE", n, to_line, uri, 2, "b") + "Content-Length: 0\r\n\r\n").encode()
-        waiting[n] = [time.perf_counter(), data]
-        wire.send(data)
+        open_byes[n] = [time.perf_counter(), data]
+        message_socket.send(data)
 
     while True:
         now = time.perf_counter()
-        while sent < calls and now - began >= sent / rate and len(out) + len(waiting) < window:
+        while sent < calls and now - began >= sent / rate and len(open_invites) + len(open_byes) < max_unanswered:
             data = (
                 request(
                     "INVITE",
                     sent,
                     f"To: <sip:+2217{sent:07d}@127.0.0.1>",
-                    f"sip:+2217{sent:07d}@127.0.0.1:{to}",
+                    f"sip:+2217{sent:07d}@127.0.0.1:{target_port}",
                     1,
                     "i",
                 )
                 + f"Content-Type: application/sdp\r\nContent-Length: {len(SDP)}\r\n\r\n{SDP}"
             ).encode()
-            out[sent] = [now, now, data]
-            wire.send(data)
+            open_invites[sent] = [now, now, data]
+            message_socket.send(data)
             sent += 1
-        for data, _ in wire.read():
-            cseq = field(data, b"CSeq")
+        for data, _ in message_socket.read():
+            cseq = header_line(data, b"CSeq")
             if data[:7] != b"SIP/2.0" or data[8:9] == b"1":
                 continue
-            n = int(field(data, b"Call-ID")[9 + len(base) :])
+            n = int(header_line(data, b"Call-ID")[9 + len(call_id_prefix) :])
             if cseq.endswith(b"BYE"):
-                if waiting.pop(n, None):
-                    count["ended"] += 1
+                if open_byes.pop(n, None):
+                    counts["ended"] += 1
                 continue
-            entry = out.pop(n, None)
-            to_line = field(data, b"To").decode()
+            entry = open_invites.pop(n, None)
+            to_line = header_line(data, b"To").decode()
             if data[8:9] == b"2":
-                uri = field(data, b"Contact").decode()[10:-1]
+                uri = header_line(data, b"Contact").decode()[10:-1]
                 ack = request("ACK", n, to_line, uri, 1, "a")
-                wire.send((ack + "Content-Length: 0\r\n\r\n").encode())
+                message_socket.send((ack + "Content-Length: 0\r\n\r\n").encode())
                 if entry:
-                    wave.record_value(max(1, int((time.perf_counter() - entry[0]) * 1e6)))
-                    count["stood"] += 1
-                    if hold:
-                        standing.append((n, to_line, uri))
+                    setup_times_us.record_value(max(1, int((time.perf_counter() - entry[0]) * 1e6)))
+                    counts["stood"] += 1
+                    if hold_calls:
+                        established.append((n, to_line, uri))
                     else:
                         bye(n, to_line, uri)
             elif entry:
-                count["failed"] += 1
-                ack = request("ACK", n, to_line, f"sip:+2217{n:07d}@127.0.0.1:{to}", 1, "i")
-                wire.send((ack + "Content-Length: 0\r\n\r\n").encode())
-        if now >= next_look:
-            next_look = now + 0.1
+                counts["failed"] += 1
+                ack = request("ACK", n, to_line, f"sip:+2217{n:07d}@127.0.0.1:{target_port}", 1, "i")
+                message_socket.send((ack + "Content-Length: 0\r\n\r\n").encode())
+        if now >= next_timer_check:
+            next_timer_check = now + 0.1
             if transport == "udp":
-                for entry in [e for e in out.values() if now - e[1] > REPEAT_S]:
+                for entry in [e for e in open_invites.values() if now - e[1] > RETRANSMIT_AFTER_S]:
                     entry[1] = now
-                    count["repeated"] += 1
-                    wire.send(entry[2])
-                for entry in [e for e in waiting.values() if now - e[0] > REPEAT_S]:
+                    counts["repeated"] += 1
+                    message_socket.send(entry[2])
+                for entry in [e for e in open_byes.values() if now - e[0] > RETRANSMIT_AFTER_S]:
                     entry[0] = now
-                    count["repeated"] += 1
-                    wire.send(entry[1])
-            for n in [n for n, e in out.items() if now - e[0] > LOSE_S]:
-                del out[n]
-                count["lost"] += 1
-        if sent == calls and not out and not waiting:
-            if not standing:
+                    counts["repeated"] += 1
+                    message_socket.send(entry[1])
+            for n in [n for n, e in open_invites.items() if now - e[0] > LOST_AFTER_S]:
+                del open_invites[n]
+                counts["lost"] += 1
+        if sent == calls and not open_invites and not open_byes:
+            if not established:
                 break
             print("standing", flush=True)
             sys.stdin.readline()
-            calls_at = time.perf_counter()
-            for i, call in enumerate(standing):
-                while time.perf_counter() - calls_at < i / rate:
-                    for data, _ in wire.read():
-                        if field(data, b"CSeq").endswith(b"BYE"):
-                            waiting.pop(int(field(data, b"Call-ID")[9 + len(base) :]), None)
-                            count["ended"] += 1
+            release_began = time.perf_counter()
+            for i, call in enumerate(established):
+                while time.perf_counter() - release_began < i / rate:
+                    for data, _ in message_socket.read():
+                        if header_line(data, b"CSeq").endswith(b"BYE"):
+                            open_byes.pop(int(header_line(data, b"Call-ID")[9 + len(call_id_prefix) :]), None)
+                            counts["ended"] += 1
                 bye(*call)
-            standing = []
+            established = []
         select.select(
             [sock], [], [], max(0.0, min(0.02, began + sent / rate - time.perf_counter())) if sent < calls else 0.02
         )
     seconds = time.perf_counter() - began
-    at = {str(p): wave.get_value_at_percentile(p) for p in (50, 99, 99.9)}
-    print(json.dumps({**count, "seconds": seconds, "us": at}), flush=True)
+    percentiles = {str(p): setup_times_us.get_value_at_percentile(p) for p in (50, 99, 99.9)}
+    print(json.dumps({**counts, "seconds": seconds, "us": percentiles}), flush=True)
 
 
-def relay(port, to):
-    """Passes datagrams between whoever sent first and `to`, on uvloop, without reading them."""
+def run_relay(port, target_port):
+    """Forwards datagrams between the last sender and `target_port` on uvloop, without reading them."""
 
     async def main():
         loop = asyncio.get_running_loop()
-        near, far = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-        for sock in (near, far):
+        caller_side, server_side = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
+        for sock in (caller_side, server_side):
             sock.setblocking(False)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
-        near.bind(("127.0.0.1", port))
-        far.bind(("127.0.0.1", 0))
-        buffer, caller_at = bytearray(65535), [None]
+        caller_side.bind(("127.0.0.1", port))
+        server_side.bind(("127.0.0.1", 0))
+        buffer, caller_address = bytearray(65535), [None]
 
-        def outward():
+        def forward_to_server():
             for _ in range(64):
                 try:
-                    size, caller_at[0] = near.recvfrom_into(buffer)
+                    size, caller_address[0] = caller_side.recvfrom_into(buffer)
                 except BlockingIOError:
                     return
-                far.sendto(memoryview(buffer)[:size], ("127.0.0.1", to))
+                server_side.sendto(memoryview(buffer)[:size], ("127.0.0.1", target_port))
 
-        def inward():
+        def forward_to_caller():
             for _ in range(64):
                 try:
-                    size, _ = far.recvfrom_into(buffer)
+                    size, _ = server_side.recvfrom_into(buffer)
                 except BlockingIOError:
                     return
-                near.sendto(memoryview(buffer)[:size], caller_at[0])
+                caller_side.sendto(memoryview(buffer)[:size], caller_address[0])
 
-        loop.add_reader(near.fileno(), outward)
-        loop.add_reader(far.fileno(), inward)
+        loop.add_reader(caller_side.fileno(), forward_to_server)
+        loop.add_reader(server_side.fileno(), forward_to_caller)
         print("ready", flush=True)
         await asyncio.sleep(600)
 
@@ -263,8 +268,8 @@
 if __name__ == "__main__":
     kind, *rest = sys.argv[1:]
     if kind == "box":
-        box(rest[0], int(rest[1]), int(rest[2]), float(rest[3]))
+        run_server(rest[0], int(rest[1]), int(rest[2]), float(rest[3]))
     elif kind == "caller":
-        caller(rest[0], int(rest[1]), float(rest[2]), int(rest[3]), rest[4] == "hold", rest[5], *map(int, rest[6:]))
+        run_caller(rest[0], int(rest[1]), float(rest[2]), int(rest[3]), rest[4] == "hold", rest[5], *map(int, rest[6:]))
     else:
-        relay(int(rest[0]), int(rest[1]))
+        run_relay(int(rest[0]), int(rest[1]))
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,12 +1,12 @@
-"""Memory of a border proxy on the platform over a long run, by kind of object.
+"""Memory of a border proxy on the platform over a long run, by object type.
 
     python -m bench.memory --seconds 240 --rate 100 [--keep] [--port 25080]
 
-One real proxy against the platform's stand-in on loopback. Ids and callers' connections are always new, each
-connection ends by a reset, and central servers are replaced one after the other by new ones with new ids. At each quarter its anonymous memory is
-read from outside; after the first load and at the end the proxy tells its objects by kind, how many of them only the
-collector ends, and what is left once the allocator was asked to give back what it holds free. With --keep no server
-is replaced.
+Runs one real proxy against the platform's stand-in on loopback. Call ids and callers' connections are always new, each
+connection ends with a reset, and the central servers are replaced one after another by new ones with new ids. After
+each quarter the trial reads the proxy's anonymous memory from /proc. After the first load and at the end, the proxy
+itself reports its objects by type, how many objects only the garbage collector frees, and its memory after the
+allocator has returned its free pages to the system. With --keep no server is replaced.
 """
 
 import argparse
@@ -43,8 +43,8 @@
     },
     "rules": {"drainGraceMs": 500.0, "startCapacity": 0.28, "warmUpMs": 3000.0, "fallMultiple": 2.0, "fallMs": 1500.0},
 }
-CALLS = 4  # calls on each connection
-REPLACED_S = 4.0  # s between two replacements of a central server
+CALLS_PER_CONNECTION = 4
+REPLACE_EVERY_S = 4.0  # between two replacements of a central server
 
 
 def resident_kb():
@@ -57,79 +57,83 @@
         return next(int(line.split()[1]) for line in file if line.startswith("Anonymous:"))
 
 
-def kinds():
-    found = collections.Counter(type(thing).__name__ for thing in gc.get_objects())
-    return dict(found.most_common(40))
+def objects_by_type():
+    counts = collections.Counter(type(item).__name__ for item in gc.get_objects())
+    return dict(counts.most_common(40))
 
 
-def told(*_):
-    """What is there, what of it only the collector ends, and what the allocator holds free."""
-    row = {"memory_kb": resident_kb(), "objects": kinds(), "blocks": sys.getallocatedblocks()}
+def report_memory(*_):
+    """Logs memory and objects before and after a garbage collection, and memory after trimming the allocator."""
+    row = {"memory_kb": resident_kb(), "objects": objects_by_type(), "blocks": sys.getallocatedblocks()}
     row["ended_by_collector"] = gc.collect()
-    row["after_collector"] = {"memory_kb": resident_kb(), "objects": kinds(), "blocks": sys.getallocatedblocks()}
+    row["after_collector"] = {
+        "memory_kb": resident_kb(),
+        "objects": objects_by_type(),
+        "blocks": sys.getallocatedblocks(),
+    }
     ctypes.CDLL(None).malloc_trim(0)
     row["after_trim_kb"] = resident_kb()
     print("MEMORY " + json.dumps(row), file=sys.stderr, flush=True)
 
 
-def proxy():
-    """The program as it is, with a signal that makes it tell."""
-    signal.signal(signal.SIGUSR1, told)
+def run_proxy():
+    """Runs the unchanged program with a signal handler that reports its memory."""
+    signal.signal(signal.SIGUSR1, report_memory)
     from thorndale.node.__main__ import main
 
     sys.exit(main())
 
 
-class Play:
-    def __init__(self, folder, given):
-        self.folder, self.rate, self.keep, self.port = folder, given.rate, given.keep, given.port
-        self.calls, self.names, self.outside = 0, 0, []
+class MemoryTrial:
+    def __init__(self, folder, options):
+        self.folder, self.rate, self.keep_servers, self.port = folder, options.rate, options.keep, options.port
+        self.calls, self.servers_started, self.anonymous_samples_kb = 0, 0, []
 
     async def server(self):
-        self.names += 1
-        made = CentralServer(f"s-{self.names:08x}", hold_s=0.4)
-        return await made.start("127.0.0.1")
+        self.servers_started += 1
+        server = CentralServer(f"s-{self.servers_started:08x}", hold_s=0.4)
+        return await server.start("127.0.0.1")
 
     async def offer(self, seconds):
-        """Connections of CALLS calls each, one after the other."""
+        """Opens connections at a steady rate, each with CALLS_PER_CONNECTION calls."""
         loop = asyncio.get_running_loop()
         began, sent, tasks = loop.time(), 0, set()
         while loop.time() - began < seconds:
-            while sent < (loop.time() - began) * self.rate / CALLS:
+            while sent < (loop.time() - began) * self.rate / CALLS_PER_CONNECTION:
                 sent += 1
-                task = loop.create_task(self.one_connection())
+                task = loop.create_task(self.run_connection())
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
             await asyncio.sleep(0.01)
         await asyncio.gather(*tasks)
 
-    async def one_connection(self):
+    async def run_connection(self):
         caller = await Callers().open("127.0.0.1", self.port)
-        for _ in range(CALLS):
+        for _ in range(CALLS_PER_CONNECTION):
             self.calls += 1
-            call = (0x9B1F << 48 | self.calls).to_bytes(8, "big")
-            caller.setup(call, figures=b"dest:%d;width:1;via:-1" % (self.calls % 3))
+            call_id = (0x9B1F << 48 | self.calls).to_bytes(8, "big")
+            caller.setup(call_id, figures=b"dest:%d;width:1;via:-1" % (self.calls % 3))
             await asyncio.sleep(0.05)
         await asyncio.sleep(1)
-        end = caller.writer.transport.get_extra_info("socket")
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        raw_socket = caller.writer.transport.get_extra_info("socket")
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         await caller.close()
 
     async def replace(self):
-        at = 0
+        index = 0
         while True:
-            await asyncio.sleep(REPLACED_S)
-            old, new = self.servers[at], await self.server()
-            self.servers[at] = new
+            await asyncio.sleep(REPLACE_EVERY_S)
+            old, new = self.servers[index], await self.server()
+            self.servers[index] = new
             self.feed.add(
                 2,
-                (int(old.name[2:], 16), old.host, old.port, 1, at, 0),
-                (int(new.name[2:], 16), new.host, new.port, 0, at, 0),
+                (int(old.name[2:], 16), old.host, old.port, 1, index, 0),
+                (int(new.name[2:], 16), new.host, new.port, 0, index, 0),
             )
             await asyncio.sleep(1.5)
-            self.feed.add(2, (int(old.name[2:], 16), old.host, old.port, 2, at, 0))
+            self.feed.add(2, (int(old.name[2:], 16), old.host, old.port, 2, index, 0))
             await old.stop()
-            at = (at + 1) % len(self.servers)
+            index = (index + 1) % len(self.servers)
 
     async def run(self, seconds):
         self.servers = [await self.server() for _ in range(3)]
@@ -145,18 +149,18 @@
                 env=dict(os.environ, GW_CONFIG=str(path)),
             )
         await asyncio.sleep(2)
-        replacing = None if self.keep else asyncio.get_running_loop().create_task(self.replace())
+        replacing = None if self.keep_servers else asyncio.get_running_loop().create_task(self.replace())
         try:
             await self.offer(10)
             for quarter in range(5):
                 if quarter:
                     await self.offer(seconds / 4)
-                await asyncio.sleep(4)  # what stands ends, so that the same is there each time
-                self.outside.append(anonymous_kb(process.pid))
+                await asyncio.sleep(4)  # open calls end first, so that all samples are taken in the same state
+                self.anonymous_samples_kb.append(anonymous_kb(process.pid))
                 if quarter in (0, 4):
                     process.send_signal(signal.SIGUSR1)
                     await asyncio.sleep(1)
-                    self.outside[-1:] += [anonymous_kb(process.pid)] if quarter == 0 else []
+                    self.anonymous_samples_kb[-1:] += [anonymous_kb(process.pid)] if quarter == 0 else []
         finally:
             if replacing:
                 replacing.cancel()
@@ -165,13 +169,13 @@
         return [json.loads(line[7:]) for line in log.read_text().splitlines() if line.startswith("MEMORY ")]
 
 
-def shown(rows):
+def print_report(rows):
     for n, row in enumerate(rows):
         after = row["after_collector"]
         print(
             f"{('after the first load', 'at the end')[n]}: {row['memory_kb']} KB, {sum(row['objects'].values())} objects, {row['blocks']} blocks; "
-            f"the collector ends {row['ended_by_collector']}, leaves {after['memory_kb']} KB, "
-            f"{sum(after['objects'].values())} objects, {after['blocks']} blocks; trimmed {row['after_trim_kb']} KB"
+            f"the collector frees {row['ended_by_collector']}, which leaves {after['memory_kb']} KB, "
+            f"{sum(after['objects'].values())} objects, {after['blocks']} blocks; {row['after_trim_kb']} KB after trimming"
         )
     for what in ("objects", "after"):
         first, last = (
@@ -180,7 +184,7 @@
         grown = sorted(((last[k] - first.get(k, 0), k) for k in last), reverse=True)[:12]
         print(
             "grown",
-            "before the collector:" if what == "objects" else "after it:",
+            "before the collection:" if what == "objects" else "after it:",
             ", ".join(f"{k} {n}" for n, k in grown if n > 0),
         )
 
@@ -192,15 +196,18 @@
     parser.add_argument("--keep", action="store_true")
     parser.add_argument("--port", type=int, default=25080)
     parser.add_argument("--proxy", action="store_true")
-    given = parser.parse_args()
-    if given.proxy:
-        proxy()
+    options = parser.parse_args()
+    if options.proxy:
+        run_proxy()
     with tempfile.TemporaryDirectory() as folder:
-        play = Play(Path(folder), given)
-        rows = asyncio.run(play.run(given.seconds))
-        print(f"{play.calls} calls, {play.names} servers, {os.cpu_count()} cores")
-        print("anonymous KB, after the first load (before and after telling) and at each quarter:", play.outside)
-        shown(rows)
+        trial = MemoryTrial(Path(folder), options)
+        rows = asyncio.run(trial.run(options.seconds))
+        print(f"{trial.calls} calls, {trial.servers_started} servers, {os.cpu_count()} cores")
+        print(
+            "anonymous KB, after the first load (before and after its memory report) and at each quarter:",
+            trial.anonymous_samples_kb,
+        )
+        print_report(rows)
 
 
 if __name__ == "__main__":
--- a/bench/profile.py
+++ b/bench/profile.py
@@ -10,18 +10,18 @@
 from bench.calls import settings, spawn
 from thorndale.standins.ports import reserve_port
 
-ROOMS = (
+PACKAGES = (
     ("thorndale/sip/message", "messages: parse, check, encode"),
-    ("thorndale/sip/headers", "inside header values"),
+    ("thorndale/sip/headers", "header values"),
     ("thorndale/sip/uri", "URIs"),
     ("thorndale/sip/transaction", "transactions"),
     ("thorndale/sip/dialog", "dialogs"),
     ("thorndale/call/", "calls"),
     ("thorndale/match/", "rules"),
-    ("thorndale/policy", "the module"),
+    ("thorndale/policy", "decision module"),
     ("thorndale/timers", "timers"),
-    ("thorndale/net/", "sockets, Python's part"),
-    ("thorndale/", "the rest of ours"),
+    ("thorndale/net/", "sockets, Python code"),
+    ("thorndale/", "rest of thorndale"),
 )
 
 
@@ -32,10 +32,10 @@
     parser.add_argument("--out", default="docs/bench/profile.md")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        box_port, port = reserve_port(), reserve_port()
-        box = spawn("box", "udp", box_port, 0, options.calls / options.rate + 60)
-        box.stdout.readline()
-        path = settings(folder, port, box_port, "udp", 5)
+        server_port, port = reserve_port(), reserve_port()
+        server = spawn("box", "udp", server_port, 0, options.calls / options.rate + 60)
+        server.stdout.readline()
+        path = settings(folder, port, server_port, "udp", 5)
         proxy = subprocess.Popen(
             [sys.executable, "-m", "cProfile", "-o", f"{folder}/profile", "-m", "thorndale", "run", path]
         )
@@ -45,31 +45,31 @@
         caller.wait()
         proxy.terminate()
         proxy.wait()
-        box.kill()
-        box.wait()
+        server.kill()
+        server.wait()
         stats = pstats.Stats(f"{folder}/profile").stats
-    own = {}
+    seconds_by_package = {}
     for (file, _, name), (_, _, total, _, _) in stats.items():
         if file == "~":
-            room = "sendto, recvfrom" if "sendto" in name or "recvfrom" in name else "built-in functions"
+            package = "sendto, recvfrom" if "sendto" in name or "recvfrom" in name else "built-in functions"
         else:
-            room = next((says for part, says in ROOMS if part in file), None)
-            if room is None:
-                continue  # imports, the loop and its waiting
-        own[room] = own.get(room, 0.0) + total
-    total = sum(own.values())
+            package = next((label for path_part, label in PACKAGES if path_part in file), None)
+            if package is None:
+                continue  # imports, the event loop and its waiting
+        seconds_by_package[package] = seconds_by_package.get(package, 0.0) + total
+    total = sum(seconds_by_package.values())
     lines = [
         "# Where the time of a call goes",
         "",
-        f"One run of `python -m bench.profile`: {options.calls} calls at {options.rate} a second on UDP under cProfile, "
-        "which makes small functions dearer than they are. The loop's waiting and imports are left out; built-in "
-        "functions (string methods, look-ups) belong mostly to messages and header values.",
+        f"One run of `python -m bench.profile`: {options.calls} calls at {options.rate} per second on UDP under cProfile, "
+        "which overstates the cost of small functions. The event loop's waiting and imports are left out. Built-in "
+        "functions (string methods, look-ups) are called mostly by messages and header values.",
         "",
-        "| part | share | us a call, profiled |",
+        "| package | share | us per call, profiled |",
         "| --- | ---: | ---: |",
     ]
-    for room, seconds in sorted(own.items(), key=lambda pair: -pair[1]):
-        lines.append(f"| {room} | {seconds / total:.0%} | {seconds / options.calls * 1e6:.0f} |")
+    for package, seconds in sorted(seconds_by_package.items(), key=lambda pair: -pair[1]):
+        lines.append(f"| {package} | {seconds / total:.0%} | {seconds / options.calls * 1e6:.0f} |")
     with open(options.out, "w", encoding="utf-8") as file:
         file.write("\n".join([*lines, ""]))
     print("\n".join(lines))
--- a/bench/records.py
+++ b/bench/records.py
@@ -1,8 +1,8 @@
-"""`python -m bench.records ways|folders`: what call records cost.
+"""`python -m bench.records ways|top|folders`: the cost of call records.
 
-ways: set-up time and CPU of one proxy by each order of answer and record, and without records, in turn at each rate.
-top: calls a second that each way reaches with a fixed number of calls out.
-folders: recovery, verification and rating of many records, with time and peak memory, each in a process of its own.
+ways: set-up time and CPU of one proxy for each order of answer and record, and without records, alternating per rate.
+top: calls per second that each order reaches with a fixed number of unanswered calls.
+folders: time and peak memory of recovery, verification and rating of many records, each in its own process.
 All write into docs/bench/.
 """
 
@@ -14,7 +14,7 @@
 import tempfile
 import time
 
-from bench.calls import SOUND, one
+from bench.calls import MIN_ANSWERED_FRACTION, measure_rate
 from thorndale.records import folder as fo
 from thorndale.records.files import Files
 from thorndale.records.journal import Journal, Limits
@@ -22,73 +22,93 @@
 from thorndale.records.record import Record, SeizureRecord
 
 RATES = (300, 500, 700, 900, 1000, 1100)
-WINDOW = 24  # calls out at once where the top rate is sought: enough to keep the proxy busy, few to repeat nothing
+MAX_UNANSWERED_CALLS = 24  # keeps the proxy busy, but is low enough to avoid retransmissions
 
 
-def ways(options):
-    rows, taken = [], set()
+def compare_orders(options):
+    rows, taken_ports = [], set()
     with tempfile.TemporaryDirectory(prefix="thorndale-records-", dir=options.disk or None) as folder:
         for rate in options.rates:
-            for turn in range(options.turns):
-                order = ["", *ANSWER_ORDERS] if turn % 2 == 0 else [*reversed(ANSWER_ORDERS), ""]
-                for way in order:
-                    row = one("proxy udp", rate, options.seconds, folder, taken, way)
-                    row["records"] = way or "none"
+            for round_number in range(options.turns):
+                orders = ["", *ANSWER_ORDERS] if round_number % 2 == 0 else [*reversed(ANSWER_ORDERS), ""]
+                for answer_order in orders:
+                    row = measure_rate("proxy udp", rate, options.seconds, folder, taken_ports, answer_order)
+                    row["records"] = answer_order or "none"
                     rows.append(row)
                     print(json.dumps(row), flush=True)
     with open(f"{options.out}/records-ways.json", "w", encoding="utf-8") as file:
         json.dump(rows, file, indent=1)
         file.write("\n")
     lines = [
-        "| way | calls/s | " + " | ".join(f"at {r}/s: p50, p99 ms; CPU us a call" for r in options.rates) + " |",
+        "| answer order | calls/s | "
+        + " | ".join(f"at {r}/s: p50, p99 ms; CPU us per call" for r in options.rates)
+        + " |",
         "| --- | ---: |" + " ---: |" * len(options.rates),
     ]
-    for way in ("none", *ANSWER_ORDERS):
-        cells, top = [], 0
+    for answer_order in ("none", *ANSWER_ORDERS):
+        cells, reached_rate = [], 0
         for rate in options.rates:
-            of = [r for r in rows if r["records"] == way and r["rate"] == rate]
-            mid = {p: sorted(r["us"][p] for r in of)[(len(of) - 1) // 2] / 1000 for p in ("50", "99")}
-            used = sorted(r["cpu_us_call"] for r in of)[(len(of) - 1) // 2]
-            if all(r["stood"] >= SOUND * r["calls"] for r in of):
-                top = rate
-            cells.append(f"{mid['50']:.2f}, {mid['99']:.2f}; {used}")
-        lines.append(f"| {way} | {top} | " + " | ".join(cells) + " |")
+            matching = [r for r in rows if r["records"] == answer_order and r["rate"] == rate]
+            percentiles_ms = {
+                p: sorted(r["us"][p] for r in matching)[(len(matching) - 1) // 2] / 1000 for p in ("50", "99")
+            }
+            cpu_us = sorted(r["cpu_us_call"] for r in matching)[(len(matching) - 1) // 2]
+            if all(r["stood"] >= MIN_ANSWERED_FRACTION * r["calls"] for r in matching):
+                reached_rate = rate
+            cells.append(f"{percentiles_ms['50']:.2f}, {percentiles_ms['99']:.2f}; {cpu_us}")
+        lines.append(f"| {answer_order} | {reached_rate} | " + " | ".join(cells) + " |")
     print("\n".join(lines))
     with open(f"{options.out}/records-ways.md", "w", encoding="utf-8") as file:
         file.write("\n".join(lines) + "\n")
 
 
-def top(options):
-    """Calls a second with a fixed number of calls out: none, then each way, and back, in each turn; ratios are of one
-    turn, their median over all."""
-    turns, taken = [], set()
+def measure_throughput(options):
+    """Measures calls per second with a fixed number of unanswered calls, without records and with each answer order.
+
+    The sequence is reversed in every second round. Ratios are taken within a round; the result is their median."""
+    rounds, taken_ports = [], set()
     with tempfile.TemporaryDirectory(prefix="thorndale-records-", dir=options.disk or None) as folder:
-        for turn in range(options.turns):
+        for round_number in range(options.turns):
             row = {}
-            for way in ["", *ANSWER_ORDERS] if turn % 2 == 0 else [*reversed(ANSWER_ORDERS), ""]:
-                found = one("proxy udp", 10_000, options.seconds / 10, folder, taken, way, WINDOW)
-                row[way or "none"] = {k: found[k] for k in ("reached", "cpu_us_call", "stood", "calls", "us")}
-            turns.append(row)
-            print(json.dumps({way: [x["reached"], x["cpu_us_call"]] for way, x in row.items()}), flush=True)
-    middle = {}
-    for way in ("none", *ANSWER_ORDERS):
-        parts = sorted(t[way]["reached"] / t["none"]["reached"] for t in turns)
-        cpu = sorted(t[way]["cpu_us_call"] / t["none"]["cpu_us_call"] for t in turns)
-        middle[way] = {
-            "reached": sorted(t[way]["reached"] for t in turns)[len(turns) // 2],
-            "ratio": round(parts[len(parts) // 2], 3),
-            "least": round(parts[0], 3),
-            "most": round(parts[-1], 3),
-            "cpu_ratio": round(cpu[len(cpu) // 2], 3),
+            for answer_order in ["", *ANSWER_ORDERS] if round_number % 2 == 0 else [*reversed(ANSWER_ORDERS), ""]:
+                result = measure_rate(
+                    "proxy udp", 10_000, options.seconds / 10, folder, taken_ports, answer_order, MAX_UNANSWERED_CALLS
+                )
+                row[answer_order or "none"] = {k: result[k] for k in ("reached", "cpu_us_call", "stood", "calls", "us")}
+            rounds.append(row)
+            print(
+                json.dumps(
+                    {
+                        answer_order: [measured["reached"], measured["cpu_us_call"]]
+                        for answer_order, measured in row.items()
+                    }
+                ),
+                flush=True,
+            )
+    medians = {}
+    for answer_order in ("none", *ANSWER_ORDERS):
+        ratios = sorted(
+            round_results[answer_order]["reached"] / round_results["none"]["reached"] for round_results in rounds
+        )
+        cpu_ratios = sorted(
+            round_results[answer_order]["cpu_us_call"] / round_results["none"]["cpu_us_call"]
+            for round_results in rounds
+        )
+        medians[answer_order] = {
+            "reached": sorted(round_results[answer_order]["reached"] for round_results in rounds)[len(rounds) // 2],
+            "ratio": round(ratios[len(ratios) // 2], 3),
+            "least": round(ratios[0], 3),
+            "most": round(ratios[-1], 3),
+            "cpu_ratio": round(cpu_ratios[len(cpu_ratios) // 2], 3),
         }
-    print(json.dumps(middle, indent=1))
+    print(json.dumps(medians, indent=1))
     with open(f"{options.out}/records-top.json", "w", encoding="utf-8") as file:
-        json.dump({"turns": turns, "middle": middle}, file, indent=1)
+        json.dump({"turns": rounds, "middle": medians}, file, indent=1)
         file.write("\n")
 
 
-class Quiet:
-    """Files that never sync: what is measured is reading."""
+class NoSyncFiles:
+    """Files without sync calls, as only reading is measured."""
 
     def __init__(self, files):
         self.files = files
@@ -98,21 +118,23 @@
         return getattr(self.files, name)
 
 
-def fill(path, count, segment_bytes, close):
-    """`count` calls, one in five refused, the others begun, sent and ended; in order of time, some hundred open."""
+def fill_folder(path, count, segment_bytes, close):
+    """Writes the records of `count` calls in time order: one in five is refused, the others are answered and released.
+
+    About 200 calls are open at any time."""
     os.makedirs(path)
-    files = Quiet(Files(path))
+    files = NoSyncFiles(Files(path))
     limits = Limits(queue=1 << 30, segment_bytes=segment_bytes, commit_us=0, segment_us=1 << 60)
     journal = Journal(limits, "p1", "c" * 16, "b" * 16, 1_790_000_000_000_000, 1, "", 0)
-    ops = []
-    ledger = Ledger(journal, "written", 1 << 50, ops.append, None, lambda *a, **k: None)
+    operations = []
+    ledger = Ledger(journal, "written", 1 << 50, operations.append, None, lambda *a, **k: None)
 
-    def work(now):
+    def write_pending(now):
         ledger.flush(now)
-        while ops:
-            op = ops.pop(0)
-            fo.perform(files, op)
-            ledger.done(now, op)
+        while operations:
+            operation = operations.pop(0)
+            fo.perform(files, operation)
+            ledger.done(now, operation)
             ledger.flush(now)
 
     open_calls, now = [], 0
@@ -158,7 +180,7 @@
             )
             ledger.ended(now, record)
         if n % 100 == 0:
-            work(now)
+            write_pending(now)
     if close:
         for record in open_calls:
             record.ended_us, record.answered, record.how, record.by, record.status = (
@@ -170,7 +192,7 @@
             )
             ledger.ended(now, record)
         journal.close()
-    work(now)
+    write_pending(now)
     files.close()
 
 
@@ -186,50 +208,52 @@
 }
 
 
-def measured(task, path, tariffs):
-    """(seconds, peak RSS in MB, what it said)."""
+def measure_task(task, path, tariffs):
+    """Runs a task in its own process; returns its time, peak RSS and last line of output."""
     code = (
         "import sys, resource, time\nat = time.perf_counter()\ntry:\n    "
         + TASKS[task]
         + "\nexcept BaseException as fault:\n    print(repr(fault), file=sys.stderr)\n"
         "print(time.perf_counter() - at, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024)"
     )
-    done = subprocess.run([sys.executable, "-c", code, path, tariffs], capture_output=True, text=True, check=True)
-    *said, last = done.stdout.strip().splitlines()
+    process = subprocess.run([sys.executable, "-c", code, path, tariffs], capture_output=True, text=True, check=True)
+    *output, last = process.stdout.strip().splitlines()
     seconds, peak = map(float, last.split())
     return {
         "task": task,
         "seconds": round(seconds, 1),
         "peak_mb": round(peak),
-        "said": (said + done.stderr.splitlines())[-1:],
+        "said": (output + process.stderr.splitlines())[-1:],
     }
 
 
-def folders(options):
+def measure_folders(options):
     rows = []
     for count in options.counts:
-        with tempfile.TemporaryDirectory(prefix="thorndale-records-", dir=options.disk or None) as base:
-            tariffs = f"{base}/tariffs.json5"
+        with tempfile.TemporaryDirectory(prefix="thorndale-records-", dir=options.disk or None) as base_folder:
+            tariffs = f"{base_folder}/tariffs.json5"
             with open(tariffs, "w", encoding="utf-8") as file:
                 file.write(TARIFFS)
-            at = time.perf_counter()
-            fill(f"{base}/p1", count, 64 << 20, False)
-            size = sum(os.path.getsize(f"{base}/p1/{n}") for n in os.listdir(f"{base}/p1"))
+            began = time.perf_counter()
+            fill_folder(f"{base_folder}/p1", count, 64 << 20, False)
+            total_bytes = sum(os.path.getsize(f"{base_folder}/p1/{n}") for n in os.listdir(f"{base_folder}/p1"))
             rows.append(
                 {
                     "records": count,
                     "task": "fill",
-                    "seconds": round(time.perf_counter() - at, 1),
-                    "bytes_a_record": round(size / count),
+                    "seconds": round(time.perf_counter() - began, 1),
+                    "bytes_a_record": round(total_bytes / count),
                 }
             )
             print(json.dumps(rows[-1]), flush=True)
             for task in TASKS:
-                rows.append({"records": count, **measured(task, f"{base}/p1", tariffs)})
+                rows.append({"records": count, **measure_task(task, f"{base_folder}/p1", tariffs)})
                 print(json.dumps(rows[-1]), flush=True)
-            if count <= options.whole:  # the worst case: nothing sealed, recovery has to read every record
-                fill(f"{base}/p2", count, 1 << 40, False)
-                rows.append({"records": count, "one_segment": True, **measured("recovery", f"{base}/p2", tariffs)})
+            if count <= options.whole:  # the worst case: with no sealed segment, recovery reads every record
+                fill_folder(f"{base_folder}/p2", count, 1 << 40, False)
+                rows.append(
+                    {"records": count, "one_segment": True, **measure_task("recovery", f"{base_folder}/p2", tariffs)}
+                )
                 print(json.dumps(rows[-1]), flush=True)
     with open(f"{options.out}/records-folders.json", "w", encoding="utf-8") as file:
         json.dump(rows, file, indent=1)
@@ -244,10 +268,10 @@
     parser.add_argument("--turns", type=int, default=3)
     parser.add_argument("--counts", type=int, nargs="*", default=[100_000, 1_000_000, 10_000_000])
     parser.add_argument("--whole", type=int, default=1_000_000)
-    parser.add_argument("--disk", default="", help="A folder on the disk that is to be measured.")
+    parser.add_argument("--disk", default="", help="A folder on the disk to be measured.")
     parser.add_argument("--out", default="docs/bench")
     options = parser.parse_args()
-    {"ways": ways, "top": top, "folders": folders}[options.what](options)
+    {"ways": compare_orders, "top": measure_throughput, "folders": measure_folders}[options.what](options)
 
 
 if __name__ == "__main__":
--- a/bench/rights.py
+++ b/bench/rights.py
@@ -1,9 +1,10 @@
-"""Retries in sum on real processes: a fleet whose set-ups fail in part, with rights that move and without, one half cut off.
+"""Total retries of a fleet on real processes, with and without shared retry leases, and with half of it partitioned.
 
     python -m bench.rights [--proxies 200] [--seconds 75] [--cases alone,shared,cut] [--out FILE] [--png FILE]
 
-Every box fails a fifth of its set-ups from second 12 on; `cut`: from second 25 to 55 half of the fleet hears nothing. The
-auditor counts first set-ups and retries at the boxes' sockets and cuts them into the budget's windows.
+Every server stand-in fails a fifth of its set-ups from second 12 on. In the case `cut`, half of the fleet receives no
+datagrams from second 25 to 55. The auditor counts first set-ups and retries at the servers' sockets and compares them
+with the retry budget in its sliding windows.
 """
 
 import argparse
@@ -13,65 +14,74 @@
 import sys
 import tempfile
 
-from bench.even import DAY
+from bench.even import EVEN_LOAD_DAY
 from thorndale.spread import measure
 from thorndale.standins.day import leaks, play
 from thorndale.standins.links import LinkPlan
 from thorndale.standins.script import Fault, read_file
 
-FAILS, PART = 12, 0.2  # second from which boxes fail set-ups, part of them
-CUT, CUT_S = 25, 30
-S = 1_000_000
+FAIL_FROM_S, FAILED_FRACTION = 12, 0.2  # servers fail this share of their set-ups from this second on
+PARTITION_FROM_S, PARTITION_FOR_S = 25, 30
+US_PER_S = 1_000_000
 
 
-def day_of(given, case):
-    day = read_file(DAY)
-    day.seconds, day.proxies, day.seed, day.rate = given.seconds, given.proxies, given.seed, 3.0 * given.proxies
-    for box in day.boxes:
-        box.transport, box.setup_ms = "udp", 18 * 600 / day.rate  # a failed set-up is an answer, and no lost connection
+def build_day(options, case):
+    day = read_file(EVEN_LOAD_DAY)
+    day.seconds, day.proxies, day.seed, day.rate = options.seconds, options.proxies, options.seed, 3.0 * options.proxies
+    for server in day.boxes:
+        # Over UDP, a failed set-up is an answer and not a lost connection.
+        server.transport, server.setup_ms = "udp", 18 * 600 / day.rate
     day.fleet = case != "alone"
-    day.faults = [Fault(FAILS, "resets", [b.name for b in day.boxes], day.seconds - FAILS - 1, PART)]
-    every = [f"proxy{n + 1}" for n in range(day.proxies)]
+    day.faults = [
+        Fault(FAIL_FROM_S, "resets", [b.name for b in day.boxes], day.seconds - FAIL_FROM_S - 1, FAILED_FRACTION)
+    ]
+    proxies = [f"proxy{n + 1}" for n in range(day.proxies)]
     if case == "cut":
-        day.links = [LinkPlan(at=CUT, to=every, seconds=CUT_S, proxies=every[::2], cut=True)]
+        day.links = [LinkPlan(at=PARTITION_FROM_S, to=proxies, seconds=PARTITION_FOR_S, proxies=proxies[::2], cut=True)]
     return day
 
 
-def counts(player):
-    """Of the log lines `rights` and `members`: counts of all proxies at their ends; the last line of each."""
+def sum_log_counts(player):
+    """Sums the counts of each proxy's last `rights` and `words` log lines; collects its last `members` counts."""
     total, members = {}, []
     for name in player.files:
-        last = {}
+        last_counts = {}
         for event in player.events(name):
             if event["event"] in ("rights", "words", "members"):
-                last[event["event"]] = event["counts"]
+                last_counts[event["event"]] = event["counts"]
         for kind in ("rights", "words"):
-            for key, n in last.get(kind, {}).items():
+            for key, n in last_counts.get(kind, {}).items():
                 total[f"{kind} {key}"] = total.get(f"{kind} {key}", 0) + n
-        if "members" in last:
-            members.append(last["members"])
+        if "members" in last_counts:
+            members.append(last_counts["members"])
     return total, members
 
 
-def run(given, case):
-    day = day_of(given, case)
+def run_case(options, case):
+    day = build_day(options, case)
     with tempfile.TemporaryDirectory(prefix="thorndale-rights-") as folder:
-        spent = os.times()
+        cpu_s = os.times()
         player, breaks = play(day, folder=folder)
-        spent = sum(os.times()[2:4]) - sum(spent[2:4])
-        total, members = counts(player)
+        cpu_s = sum(os.times()[2:4]) - sum(cpu_s[2:4])
+        total, members = sum_log_counts(player)
     began, rows = player.began, player.auditor.budget
-    spans = {"all": (FAILS + 12, day.seconds - 1), "cut": (CUT + 12, CUT + CUT_S)}
-    over = {name: measure.worst_excess(*row) for name, row in rows.items()}
-    worst = max(over, key=lambda name: over[name][0])
-    use = {}
-    for what, (a, b) in spans.items():
-        own = [measure.budget_use(*row, began + a * S, began + b * S) or 0.0 for row in rows.values()]
-        use[what] = [round(min(own), 3), round(statistics.mean(own), 3)]
+    spans = {
+        "all": (FAIL_FROM_S + 12, day.seconds - 1),
+        "cut": (PARTITION_FROM_S + 12, PARTITION_FROM_S + PARTITION_FOR_S),
+    }
+    excess_by_server = {name: measure.worst_excess(*row) for name, row in rows.items()}
+    worst = max(excess_by_server, key=lambda name: excess_by_server[name][0])
+    budget_use = {}
+    for span, (from_s, until_s) in spans.items():
+        values = [
+            measure.budget_use(*row, began + from_s * US_PER_S, began + until_s * US_PER_S) or 0.0
+            for row in rows.values()
+        ]
+        budget_use[span] = [round(min(values), 3), round(statistics.mean(values), 3)]
     rules = {}
     for _, rule, _ in breaks:
         rules[rule] = rules.get(rule, 0) + 1
-    sums = {
+    call_counts = {
         key: sum(n for (_, k), n in player.count.items() if k == key)
         for key in ("offered", "stood", "in time", "rejected")
     }
@@ -79,24 +89,24 @@
         "case": case,
         "proxies": day.proxies,
         "seconds": day.seconds,
-        **sums,
-        "over": over[worst][0],
-        "over_at_s": round((over[worst][1] - began) / S, 1),
-        "boxes_over": sum(o > 0 for o, _ in over.values()),
-        "use": use,
+        **call_counts,
+        "over": excess_by_server[worst][0],
+        "over_at_s": round((excess_by_server[worst][1] - began) / US_PER_S, 1),
+        "boxes_over": sum(excess > 0 for excess, _ in excess_by_server.values()),
+        "use": budget_use,
         "breaks": rules,
         "left": len(leaks(player)),
         "counts": total,
-        "cpu_s": round(spent, 1),
+        "cpu_s": round(cpu_s, 1),
         "sent_per_s": round(sum(m["sent"] for m in members) / max(1, len(members)) / day.seconds, 2),
         "bytes_per_s": round(sum(m["bytes"] for m in members) / max(1, len(members)) / day.seconds),
     }
     for at, rule, text in breaks[:5]:
-        print(f"{case}: BROKEN at {(at - began) / S:.1f}: {rule}: {text}", file=sys.stderr)
-    return row, [[[(at - began) / S for at in kind] for kind in rows[b.name]] for b in day.boxes]
+        print(f"{case}: BROKEN at {(at - began) / US_PER_S:.1f}: {rule}: {text}", file=sys.stderr)
+    return row, [[[(at - began) / US_PER_S for at in kind] for kind in rows[b.name]] for b in day.boxes]
 
 
-def chart(path, runs):
+def draw_chart(path, runs):
     import matplotlib
 
     matplotlib.use("Agg")
@@ -105,7 +115,7 @@
     fig, axes = plt.subplots(len(runs), 1, figsize=(9, 2.8 * len(runs)), sharex=True, squeeze=False)
     for (case, rows, seconds), (axis,) in zip(runs, axes, strict=True):
         seconds = int(seconds)
-        for firsts, retries in rows:
+        for first_setups, retries in rows:
             axis.plot(
                 range(seconds),
                 [sum(t - 10 < at <= t for at in retries) for t in range(seconds)],
@@ -114,11 +124,11 @@
             )
             axis.plot(
                 range(seconds),
-                [max(3, 0.1 * sum(t - 10 < at <= t for at in firsts)) for t in range(seconds)],
+                [max(3, 0.1 * sum(t - 10 < at <= t for at in first_setups)) for t in range(seconds)],
                 color="tab:gray",
                 linewidth=0.5,
             )
-        axis.set_title(f"{case}: retries in 10 s at each box (red), what its first set-ups allow (grey)", fontsize=9)
+        axis.set_title(f"{case}: retries in 10 s at each server (red), limit by its first set-ups (grey)", fontsize=9)
         axis.set_ylim(bottom=0)
     axes[-1][0].set_xlabel("second")
     fig.tight_layout()
@@ -133,17 +143,17 @@
     parser.add_argument("--cases", default="alone,shared,cut")
     parser.add_argument("--out", default="")
     parser.add_argument("--png", default="")
-    given = parser.parse_args()
+    options = parser.parse_args()
     rows, runs = [], []
-    for case in given.cases.split(","):
-        row, seen = run(given, case)
+    for case in options.cases.split(","):
+        row, arrivals = run_case(options, case)
         rows.append(row)
-        runs.append((case, seen, given.seconds))
+        runs.append((case, arrivals, options.seconds))
         print(json.dumps(row), flush=True)
-    if given.png:
-        chart(given.png, runs)
-    if given.out:
-        with open(given.out, "w") as file:
+    if options.png:
+        draw_chart(options.png, runs)
+    if options.out:
+        with open(options.out, "w") as file:
             json.dump(rows, file, indent=0)
 
 
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -1,12 +1,12 @@
-"""What proxies tell each other, in the emulator: the same seeded days with and without it.
+"""Retry leases and peer failure reports in the emulator: the same seeded days with and without them.
 
-    python -m bench.sharing dead [--numbers 5,24,100,228,500]   # a server dies and the list goes on naming it
-    python -m bench.sharing slander                             # a sound fleet, one or a tenth of its members lie
-    python -m bench.sharing rights                              # a fifth of all set-ups faulty, all hear, half deaf
-    python -m bench.sharing days [--seeds 200]                  # drawn faults (bench/spread.py) in pairs, half deaf in some
-    python -m bench.sharing cost                                # datagrams, bytes, processor time from 5 to 500
+    python -m bench.sharing dead [--numbers 5,24,100,228,500]   # a server dies, but stays on the server list
+    python -m bench.sharing slander                             # no faults; one or a tenth report false failures
+    python -m bench.sharing rights                              # a fifth of all set-ups fail, some runs partitioned
+    python -m bench.sharing days [--seeds 200]                  # random faults of bench/spread.py, some partitioned
+    python -m bench.sharing cost                                # datagrams, bytes and CPU time, 5 to 500 proxies
 
-All figures are simulated. A row for each run goes to --out.
+All figures are simulated. Writes a row for each run to --out.
 """
 
 import argparse
@@ -16,126 +16,135 @@
 import time
 from multiprocessing import Pool
 
-from bench.spread import S, base, faulty
+from bench.spread import S, base_day, fault_day
 from thorndale.emulator.day import ScenarioEvent
 from thorndale.emulator.fleet import Fleet
 from thorndale.emulator.peer_network import PeerLinkFault
 from thorndale.fleet import wire
 from thorndale.fleet.wire import FailureReport
 
-BOTH = "rights words"
-AT = 30  # second of the event
-ALONE, SHARED, DEAF = "alone", "shared", "deaf"
+LEASES_AND_REPORTS = "rights words"
+EVENT_S = 30  # second of the event
+ALONE, SHARED, NOT_RECEIVING = "alone", "shared", "deaf"
 
 
-def counts(fleet, part):
+def sum_counts(fleet, component):
     total = {}
     for share in fleet.peer_network.exchanges if fleet.peer_network else ():
-        for name, n in getattr(share, part).count.items() if getattr(share, part) else ():
+        for name, n in getattr(share, component).count.items() if getattr(share, component) else ():
             total[name] = total.get(name, 0) + n
     return total
 
 
-def dead(job):
-    n, share, kind, seed = job
-    day = base(seed, "", n, 75, False)._replace(
-        peer_exchange=share, scenario_events=(ScenarioEvent(AT * S, kind, servers=frozenset({3}), announced=False),)
+def run_dead_server(job):
+    proxies, peer_network, kind, seed = job
+    day = base_day(seed, "", proxies, 75, False)._replace(
+        peer_exchange=peer_network,
+        scenario_events=(ScenarioEvent(EVENT_S * S, kind, servers=frozenset({3}), announced=False),),
     )
     fleet = Fleet(day)
     played = fleet.run()
-    row = fleet.setups[3]
-    usual = sum(row[10:AT]) / (AT - 10)
-    busy = [s for s in range(AT, len(row) - 4) if sum(row[s : s + 4]) / 4 > usual / 4]
-    avoided = max(busy, default=AT) + 1 - AT
+    setups = fleet.setups[3]
+    usual_per_s = sum(setups[10:EVENT_S]) / (EVENT_S - 10)
+    busy_seconds = [
+        second for second in range(EVENT_S, len(setups) - 4) if sum(setups[second : second + 4]) / 4 > usual_per_s / 4
+    ]
+    avoided_s = max(busy_seconds, default=EVENT_S) + 1 - EVENT_S
     return {
-        "proxies": n,
-        "share": share,
+        "proxies": proxies,
+        "share": peer_network,
         "kind": kind,
         "seed": seed,
-        "usual_per_s": round(usual, 1),
-        "lost_until_avoided": sum(row[AT : AT + avoided]),
-        "avoided_s": avoided,
-        "lost_in_45_s": sum(row[AT:]),
+        "usual_per_s": round(usual_per_s, 1),
+        "lost_until_avoided": sum(setups[EVENT_S : EVENT_S + avoided_s]),
+        "avoided_s": avoided_s,
+        "lost_in_45_s": sum(setups[EVENT_S:]),
         "revenue": round(played.earned_fraction(), 4),
         "breaks": played.breaks,
-        "words": counts(fleet, "words"),
+        "words": sum_counts(fleet, "words"),
     }
 
 
-def liar(fleet):
-    """Says with each message that every server has just lost a set-up of its own."""
-    ids = fleet.peer_network.exchanges[0].words.servers
+def faulty_reporter(fleet):
+    """Returns a filter that adds false failure reports, each second for another third of the servers."""
+    servers = fleet.peer_network.exchanges[0].words.servers
 
-    def lie(now, out):
+    def replace_reports(now, outgoing):
         return [
             (
-                to,
+                recipient,
                 wire.Datagram(
-                    g.version,
-                    g.kind,
-                    g.sender,
-                    g.boot_id,
-                    g.incarnation,
-                    g.number,
-                    g.about,
-                    g.updates[:3],
-                    g.rows[:3],
-                    [FailureReport(s, g.sender, 0, 0, False) for s in ids[now // S % 3 :: 3][: wire.MAX_REPORTS]],
+                    datagram.version,
+                    datagram.kind,
+                    datagram.sender,
+                    datagram.boot_id,
+                    datagram.incarnation,
+                    datagram.number,
+                    datagram.about,
+                    datagram.updates[:3],
+                    datagram.rows[:3],
+                    [
+                        FailureReport(server, datagram.sender, 0, 0, False)
+                        for server in servers[now // S % 3 :: 3][: wire.MAX_REPORTS]
+                    ],
                 ),
             )
-            for to, g in out
+            for recipient, datagram in outgoing
         ]
 
-    return lie
+    return replace_reports
 
 
-def slander(job):
-    n, liars, seed = job
-    fleet = Fleet(base(seed, "", n, 60, False)._replace(peer_exchange=BOTH))
-    fleet.peer_network.falsifiers = dict.fromkeys(range(liars), liar(fleet))
+def run_faulty_reporters(job):
+    proxies, reporters, seed = job
+    fleet = Fleet(base_day(seed, "", proxies, 60, False)._replace(peer_exchange=LEASES_AND_REPORTS))
+    fleet.peer_network.falsifiers = dict.fromkeys(range(reporters), faulty_reporter(fleet))
     played = fleet.run()
     return {
-        "proxies": n,
-        "liars": liars,
+        "proxies": proxies,
+        "liars": reporters,
         "seed": seed,
         "revenue": round(played.earned_fraction(), 5),
         "rejected": played.rejected,
         "p99_ms": played.waits_us[int(len(played.waits_us) * 0.99)] / 1000,
         "breaks": played.breaks,
-        "words": counts(fleet, "words"),
+        "words": sum_counts(fleet, "words"),
     }
 
 
-def rights(job):
-    n, share, cut, seed = job
-    half = frozenset(range(n // 2))
-    day = base(seed, "", n, 80, False)._replace(
-        peer_exchange=share,
+def run_retry_leases(job):
+    proxies, share_mode, partitioned, seed = job
+    half = frozenset(range(proxies // 2))
+    day = base_day(seed, "", proxies, 80, False)._replace(
+        peer_exchange=share_mode,
         scenario_events=(ScenarioEvent(15 * S, "errors", servers=frozenset(range(24)), factor=0.2),),
-        peer_links=(PeerLinkFault(30 * S, 60 * S, half, frozenset(range(n))),) if cut else (),
+        peer_links=(PeerLinkFault(30 * S, 60 * S, half, frozenset(range(proxies))),) if partitioned else (),
     )
     fleet = Fleet(day)
-    if not share:  # counted all the same
-        return {"proxies": n, "share": "", "cut": cut, "seed": seed, **alone(fleet)}
+    if not share_mode:  # without sharing, a counter takes its place
+        return {"proxies": proxies, "share": "", "cut": partitioned, "seed": seed, **run_unshared(fleet)}
     played = fleet.run()
     peer_network = fleet.peer_network
-    used = [peer_network.budget_fraction_used(s, (40 if cut else 30) * S, (60 if cut else 80) * S) for s in range(24)]
+    budget_use = [
+        peer_network.budget_fraction_used(server, (40 if partitioned else 30) * S, (60 if partitioned else 80) * S)
+        for server in range(24)
+    ]
     return {
-        "proxies": n,
-        "share": share,
-        "cut": cut,
+        "proxies": proxies,
+        "share": share_mode,
+        "cut": partitioned,
         "seed": seed,
         "over": peer_network.worst_budget_excess()[0],
-        "use_least": round(min(used), 3),
-        "use_mean": round(statistics.mean(used), 3),
+        "use_least": round(min(budget_use), 3),
+        "use_mean": round(statistics.mean(budget_use), 3),
         "revenue": round(played.earned_fraction(), 4),
         "breaks": played.breaks,
-        "rights": counts(fleet, "rights"),
+        "rights": sum_counts(fleet, "rights"),
     }
 
 
-class Counting:
-    """Stands where a PeerNetwork would: counts what comes to the servers, tells nobody anything."""
+class UnsharedCounter:
+    """Replaces the Sharing of a fleet: counts first set-ups and retries at the servers, but exchanges no datagrams."""
 
     def __init__(self, fleet):
         from thorndale.emulator.peer_network import PeerNetwork
@@ -149,36 +158,36 @@
         )
 
 
-def alone(fleet):
-    fleet.peer_network = Counting(fleet)
+def run_unshared(fleet):
+    fleet.peer_network = UnsharedCounter(fleet)
     played = fleet.run()
-    used = [fleet.peer_network.budget_fraction_used(s, 30 * S, 80 * S) for s in range(24)]
+    budget_use = [fleet.peer_network.budget_fraction_used(server, 30 * S, 80 * S) for server in range(24)]
     return {
         "over": fleet.peer_network.worst_budget_excess()[0],
-        "use_least": round(min(used), 3),
-        "use_mean": round(statistics.mean(used), 3),
+        "use_least": round(min(budget_use), 3),
+        "use_mean": round(statistics.mean(budget_use), 3),
         "revenue": round(played.earned_fraction(), 4),
         "breaks": played.breaks,
         "rights": {},
     }
 
 
-def days(job):
-    seed, how = job
-    day, kind, at, _ = faulty(seed, "")
-    if how == SHARED and seed % 4 == 1:  # half of the fleet hears nothing for a while
+def run_days(job):
+    seed, mode = job
+    day, kind, at_s, _ = fault_day(seed, "")
+    if mode == SHARED and seed % 4 == 1:  # a temporary partition: half of the fleet receives nothing
         half = frozenset(range(day.proxies // 2))
         day = day._replace(
-            peer_links=(PeerLinkFault((at - 5) * S, (at + 20) * S, half, frozenset(range(day.proxies))),)
+            peer_links=(PeerLinkFault((at_s - 5) * S, (at_s + 20) * S, half, frozenset(range(day.proxies))),)
         )
-    if how == DEAF:
-        every = frozenset(range(day.proxies))
-        day = day._replace(peer_links=(PeerLinkFault(0, 1 << 60, every, every),))
-    fleet = Fleet(day._replace(peer_exchange="" if how == ALONE else BOTH))
+    if mode == NOT_RECEIVING:
+        all_proxies = frozenset(range(day.proxies))
+        day = day._replace(peer_links=(PeerLinkFault(0, 1 << 60, all_proxies, all_proxies),))
+    fleet = Fleet(day._replace(peer_exchange="" if mode == ALONE else LEASES_AND_REPORTS))
     played = fleet.run()
     return {
         "seed": seed,
-        "how": how,
+        "how": mode,
         "kind": kind,
         "revenue": round(played.earned_fraction(), 5),
         "breaks": played.breaks,
@@ -186,25 +195,25 @@
     }
 
 
-def cost(job):
-    n, seed = job
-    day = base(seed, "", n, 60, False, rate=3.0 * n)._replace(peer_exchange=BOTH)
+def run_cost(job):
+    proxies, seed = job
+    day = base_day(seed, "", proxies, 60, False, rate=3.0 * proxies)._replace(peer_exchange=LEASES_AND_REPORTS)
     fleet = Fleet(day)
     began = time.process_time()
     fleet.run()
-    spent = time.process_time() - began
-    bare = Fleet(day._replace(peer_exchange=""))
+    cpu_s = time.process_time() - began
+    unshared = Fleet(day._replace(peer_exchange=""))
     began = time.process_time()
-    bare.run()
-    spent -= time.process_time() - began
+    unshared.run()
+    cpu_s -= time.process_time() - began
     peer_network = fleet.peer_network
     return {
-        "proxies": n,
+        "proxies": proxies,
         "seed": seed,
-        "grams_per_s": round(peer_network.sent / n / 60, 2),
-        "bytes_per_s": round(peer_network.bytes / n / 60),
+        "grams_per_s": round(peer_network.sent / proxies / 60, 2),
+        "bytes_per_s": round(peer_network.bytes / proxies / 60),
         "mean_bytes": round(peer_network.bytes / peer_network.sent),
-        "core_part": round(spent / n / 60, 5),
+        "core_part": round(cpu_s / proxies / 60, 5),
     }
 
 
@@ -216,56 +225,80 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--cores", type=int, default=os.cpu_count())
     parser.add_argument("--out", default="")
-    given = parser.parse_args()
-    numbers, seeds = [int(n) for n in given.numbers.split(",")], range(given.first, given.first + given.seeds)
-    job, jobs = {
+    options = parser.parse_args()
+    numbers, seeds = (
+        [int(proxies) for proxies in options.numbers.split(",")],
+        range(options.first, options.first + options.seeds),
+    )
+    measure, jobs = {
         "dead": (
-            dead,
+            run_dead_server,
             [
-                (n, share, kind, s)
-                for n in numbers
+                (proxies, share_mode, kind, seed)
+                for proxies in numbers
                 for kind in ("killed", "dark")
-                for share in ("", BOTH)
-                for s in seeds
+                for share_mode in ("", LEASES_AND_REPORTS)
+                for seed in seeds
+            ],
+        ),
+        "slander": (
+            run_faulty_reporters,
+            [
+                (proxies, reporters, seed)
+                for proxies in numbers
+                if proxies > 9
+                for reporters in (0, 1, proxies // 10)
+                for seed in seeds
             ],
         ),
-        "slander": (slander, [(n, liars, s) for n in numbers if n > 9 for liars in (0, 1, n // 10) for s in seeds]),
         "rights": (
-            rights,
+            run_retry_leases,
             [
-                (n, share, cut, s)
-                for n in numbers
-                for share, cut in (("", False), (BOTH, False), (BOTH, True))
-                for s in seeds
+                (proxies, share_mode, partitioned, seed)
+                for proxies in numbers
+                for share_mode, partitioned in (("", False), (LEASES_AND_REPORTS, False), (LEASES_AND_REPORTS, True))
+                for seed in seeds
             ],
         ),
-        "days": (days, [(s, how) for s in seeds for how in (ALONE, SHARED, DEAF) if how != DEAF or s % 10 == 0]),
-        "cost": (cost, [(n, s) for n in numbers for s in seeds]),
-    }[given.what]
+        "days": (
+            run_days,
+            [
+                (seed, mode)
+                for seed in seeds
+                for mode in (ALONE, SHARED, NOT_RECEIVING)
+                if mode != NOT_RECEIVING or seed % 10 == 0
+            ],
+        ),
+        "cost": (run_cost, [(proxies, seed) for proxies in numbers for seed in seeds]),
+    }[options.what]
     rows = []
-    with Pool(given.cores) as pool:
-        for row in pool.imap(job, jobs, chunksize=1):
+    with Pool(options.cores) as pool:
+        for row in pool.imap(measure, jobs, chunksize=1):
             rows.append(row)
-            if given.what != "days":
+            if options.what != "days":
                 print(json.dumps(row), flush=True)
-    if given.what == "days":
-        for how in (SHARED, DEAF):
-            by = {r["seed"]: r for r in rows if r["how"] == how}
-            gaps = {
-                r["seed"]: by[r["seed"]]["revenue"] - r["revenue"]
+    if options.what == "days":
+        for mode in (SHARED, NOT_RECEIVING):
+            rows_by_seed = {r["seed"]: r for r in rows if r["how"] == mode}
+            differences = {
+                r["seed"]: rows_by_seed[r["seed"]]["revenue"] - r["revenue"]
                 for r in rows
-                if r["how"] == ALONE and r["seed"] in by
+                if r["how"] == ALONE and r["seed"] in rows_by_seed
             }
-            worst = sorted(gaps.items(), key=lambda g: g[1])[:3]
-            spread = 1.96 * statistics.stdev(gaps.values()) / len(gaps) ** 0.5 if len(gaps) > 1 else 0.0
+            worst = sorted(differences.items(), key=lambda item: item[1])[:3]
+            half_interval = (
+                1.96 * statistics.stdev(differences.values()) / len(differences) ** 0.5 if len(differences) > 1 else 0.0
+            )
             print(
-                f"{how} less alone, revenue: {statistics.mean(gaps.values()):+.5f} +- {spread:.5f}, {len(gaps)} days, worst "
-                + ", ".join(f"{by[s]['kind']} (seed {s}) {gap:+.5f}" for s, gap in worst)
-                + f"; rules broken on {sum(bool(r['breaks']) for r in by.values())}; over the bound on "
-                f"{sum(r['over'] > 0 for r in by.values())}"
+                f"{mode} minus alone, revenue: {statistics.mean(differences.values()):+.5f} +- {half_interval:.5f}, {len(differences)} days, worst "
+                + ", ".join(
+                    f"{rows_by_seed[seed]['kind']} (seed {seed}) {difference:+.5f}" for seed, difference in worst
+                )
+                + f"; rules broken on {sum(bool(r['breaks']) for r in rows_by_seed.values())}; retries over the limit on "
+                f"{sum(r['over'] > 0 for r in rows_by_seed.values())}"
             )
-    if given.out:
-        with open(given.out, "w") as file:
+    if options.out:
+        with open(options.out, "w") as file:
             json.dump(rows, file, indent=0)
 
 
--- a/bench/sites.py
+++ b/bench/sites.py
@@ -1,8 +1,8 @@
-"""Losing a site in the emulator: drawn days under each policy, beside the oracle, over all cores.
+"""Loss of a site in the emulator: random days under each policy, compared with the oracle, on all cores.
 
     python -m bench.sites --days 200 [--proxies 228] [--calls 680] [--policies sites,none,plain] [--out FILE]
 
-Writes a row for each day and policy with the seed, so that any day can be played again, and prints the table.
+Writes a row with the seed for each day and policy, so that any day can be repeated, and prints a table.
 """
 
 import argparse
@@ -20,10 +20,10 @@
 def play(job):
     seed, policy, proxies, calls, servers = job
     day, case = random_day(seed, proxies=proxies, calls=calls, servers=servers)
-    began = time.perf_counter()
+    began_s = time.perf_counter()
     played = Fleet(day._replace(policy=policy)).run()
-    wall = time.perf_counter() - began
-    swing = [abs(a - b) for a, b in zip(played.spilled[30:44], played.spilled[31:45], strict=True)]
+    wall_s = time.perf_counter() - began_s
+    spill_changes = [abs(a - b) for a, b in zip(played.spilled[30:44], played.spilled[31:45], strict=True)]
     return {
         "seed": seed,
         "policy": policy,
@@ -35,44 +35,52 @@
         "of_allowed": [round(e / max(a, 1e-9), 3) for e, a in zip(played.earned, played.allowed, strict=True)],
         "longest_ms": max(max(site) for site in played.longest_wait_us) // 1000,
         "breaks": played.breaks,
-        "swing": max(swing),
+        "swing": max(spill_changes),
         "spilled": max(played.spilled),
         "calls": played.calls,
-        "wall_s": round(wall, 1),
+        "wall_s": round(wall_s, 1),
     }
 
 
-def others(row):
-    """What the calls earned whose own site was not lost, by what they offered."""
+def other_sites_share(row):
+    """Mean share of the offered revenue earned by calls whose own site was not lost."""
     return statistics.mean(own for site, own in enumerate(row["own"]) if site != row["lost"])
 
 
-def table(rows):
-    by = {}
+def print_table(rows):
+    rows_by_policy = {}
     for row in rows:
-        by.setdefault(row["policy"], {})[row["seed"]] = row
-    oracle = by.get("oracle", {})
+        rows_by_policy.setdefault(row["policy"], {})[row["seed"]] = row
+    oracle = rows_by_policy.get("oracle", {})
     print(
         f"{'policy':10} {'days':>4} {'median':>7} {'5th':>6} {'worst':>6} {'worst days':16} {'breaks':>6} "
         f"{'longest ms':>10} {'swing':>6} {'own, others':>11}"
     )
-    for policy, days in by.items():
+    for policy, days in rows_by_policy.items():
         shares = sorted(
-            (d["share"] / max(1e-9, oracle[s]["share"]) if oracle else d["share"], s) for s, d in days.items()
+            (day_row["share"] / max(1e-9, oracle[seed]["share"]) if oracle else day_row["share"], seed)
+            for seed, day_row in days.items()
         )
-        values = [v for v, _ in shares]
+        values = [share for share, _ in shares]
         print(
             f"{policy:10} {len(days):4} {statistics.median(values):7.3f} {values[len(values) // 20]:6.3f} {values[0]:6.3f} "
-            f"{', '.join(str(s) for _, s in shares[:3]):16} {sum(bool(d['breaks']) for d in days.values()):6} "
-            f"{max(d['longest_ms'] for d in days.values()):10} {max(d['swing'] for d in days.values()):6} "
-            f"{statistics.mean(others(d) for d in days.values()):11.3f}"
+            f"{', '.join(str(seed) for _, seed in shares[:3]):16} {sum(bool(day_row['breaks']) for day_row in days.values()):6} "
+            f"{max(day_row['longest_ms'] for day_row in days.values()):10} {max(day_row['swing'] for day_row in days.values()):6} "
+            f"{statistics.mean(other_sites_share(day_row) for day_row in days.values()):11.3f}"
         )
-    for policy in by:
-        if policy != "sites" and "sites" in by:
-            gaps = [by["sites"][s]["share"] - d["share"] for s, d in by[policy].items() if s in by["sites"]]
-            mean, spread = statistics.mean(gaps), statistics.stdev(gaps) if len(gaps) > 1 else 0.0
+    for policy in rows_by_policy:
+        if policy != "sites" and "sites" in rows_by_policy:
+            differences = [
+                rows_by_policy["sites"][seed]["share"] - day_row["share"]
+                for seed, day_row in rows_by_policy[policy].items()
+                if seed in rows_by_policy["sites"]
+            ]
+            mean, deviation = (
+                statistics.mean(differences),
+                statistics.stdev(differences) if len(differences) > 1 else 0.0,
+            )
             print(
-                f"sites less {policy}: {mean:+.4f} +- {1.96 * spread / len(gaps) ** 0.5:.4f}, paired, {len(gaps)} days"
+                f"sites minus {policy}: {mean:+.4f} +- {1.96 * deviation / len(differences) ** 0.5:.4f}, paired, {len(differences)} days"
             )
 
 
@@ -86,25 +94,27 @@
     parser.add_argument("--policies", default="sites,none,unbounded,plain,oracle")
     parser.add_argument("--cores", type=int, default=os.cpu_count())
     parser.add_argument("--out", default="")
-    given = parser.parse_args()
+    options = parser.parse_args()
     jobs = [
-        (seed, policy, given.proxies, given.calls, given.servers)
-        for seed in range(given.first, given.first + given.days)
-        for policy in given.policies.split(",")
+        (seed, policy, options.proxies, options.calls, options.servers)
+        for seed in range(options.first, options.first + options.days)
+        for policy in options.policies.split(",")
     ]
     began, rows = time.perf_counter(), []
-    with Pool(given.cores) as pool:
+    with Pool(options.cores) as pool:
         for row in pool.imap_unordered(play, jobs, chunksize=1):
             rows.append(row)
-    wall = time.perf_counter() - began
+    wall_s = time.perf_counter() - began
     rows.sort(key=lambda r: (r["seed"], r["policy"]))
-    if given.out:
+    if options.out:
         commit = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True).stdout.strip()
-        with open(given.out, "w") as file:
+        with open(options.out, "w") as file:
             json.dump({"commit": commit, "days": rows}, file, indent=0)
     calls = sum(r["calls"] for r in rows)
-    print(f"{len(rows)} days, {calls} tries in {wall:.0f} s: {calls / wall * 60:.0f} a minute on {given.cores} cores")
-    table(rows)
+    print(
+        f"{len(rows)} days, {calls} call attempts in {wall_s:.0f} s: {calls / wall_s * 60:.0f} a minute on {options.cores} cores"
+    )
+    print_table(rows)
 
 
 if __name__ == "__main__":
--- a/bench/way.py
+++ b/bench/way.py
@@ -1,9 +1,9 @@
-"""A border proxy with another way of choosing among a pool's servers: `python bench/way.py WAY run FILE`. For the bench."""
+"""Runs a border proxy with another server choice strategy, for benchmarks: `python bench/way.py WAY run FILE`."""
 
 import sys
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).parents[1]))  # run as a script, not installed
+sys.path.insert(0, str(Path(__file__).parents[1]))  # this file is run as a script, without an installed package
 
 from thorndale.call import decision
 from thorndale.daemon.start import main
