--- a/bench/calls.py
+++ b/bench/calls.py
@@ -28,7 +28,7 @@
     )
 
 
-def settings(folder, port, server_port, transport, seizures, answer_order=""):
+def write_settings(folder, port, server_port, transport, seizures, answer_order=""):
     uri_transport = ";transport=tcp" if transport == "tcp" else ""
     path = f"{folder}/proxy{port}.json5"
     with open(path, "w", encoding="utf-8") as file:
@@ -70,13 +70,13 @@
     raise SystemExit("the proxy did not start")
 
 
-def cpu(pid):
+def cpu_seconds(pid):
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         stat_fields = file.read().rpartition(")")[2].split()
     return (int(stat_fields[11]) + int(stat_fields[12])) / CLOCK_TICKS_PER_S
 
 
-def rss(pid):
+def resident_bytes(pid):
     with open(f"/proc/{pid}/status", encoding="ascii") as file:
         return next(int(line.split()[1]) * 1024 for line in file if line.startswith("VmRSS"))
 
@@ -97,10 +97,11 @@
         forwarder.stdout.readline()
     elif topology != "direct":
         forwarder = start_proxy(
-            settings(folder, port, server_port, transport, 1 if topology.endswith("off") else 5, answer_order), port
+            write_settings(folder, port, server_port, transport, 1 if topology.endswith("off") else 5, answer_order),
+            port,
         )
     try:
-        cpu_before = cpu(forwarder.pid) if forwarder else 0
+        cpu_before = cpu_seconds(forwarder.pid) if forwarder else 0
         caller = spawn(
             "caller",
             transport,
@@ -113,7 +114,7 @@
         )
         result = json.loads(caller.stdout.readline())
         caller.wait()
-        cpu_used = (cpu(forwarder.pid) - cpu_before) if forwarder else 0
+        cpu_used = (cpu_seconds(forwarder.pid) - cpu_before) if forwarder else 0
         calls = int(rate * seconds)
         return {
             "way": topology,
@@ -140,17 +141,17 @@
     server_port, port = reserve_port(), reserve_port()
     server = spawn("box", transport, server_port, 0, calls / rate * 2 + 120)
     server.stdout.readline()
-    proxy = start_proxy(settings(folder, port, server_port, transport, 5), port)
+    proxy = start_proxy(write_settings(folder, port, server_port, transport, 5), port)
     try:
         time.sleep(1)
-        rss_before = rss(proxy.pid)
+        rss_before = resident_bytes(proxy.pid)
         caller = spawn("caller", transport, port, rate, calls, "hold", "y", stdin=subprocess.PIPE) if calls else None
         if caller:
             caller.stdout.readline()
             time.sleep(38)  # transactions end with the SIP timers J, L and M, 32 s each
-        rss_during, cpu_before = rss(proxy.pid), cpu(proxy.pid)
+        rss_during, cpu_before = resident_bytes(proxy.pid), cpu_seconds(proxy.pid)
         time.sleep(10)
-        idle_fraction = (cpu(proxy.pid) - cpu_before) / 10
+        idle_fraction = (cpu_seconds(proxy.pid) - cpu_before) / 10
         if caller:
             caller.stdin.write("\n")
             caller.stdin.flush()
--- a/bench/kills.py
+++ b/bench/kills.py
@@ -34,13 +34,13 @@
 RESTART_GAP_S = 2.2  # between two kills of one proxy, which needs up to a second to start
 
 
-class Sockets:
+class CallerSockets:
     """Call outcomes at the callers' sockets, by Call-ID."""
 
     def __init__(self):
         self.calls = {}  # Call-ID: [called number, first final status, time of it, time of the first BYE]
 
-    def saw(self, now, place, direction, data):
+    def record_message(self, now, place, direction, data):
         if not place.startswith("caller") or direction not in ("in", "out"):
             return
         message = m.parse(data)
@@ -194,9 +194,9 @@
     with tempfile.TemporaryDirectory(prefix="thorndale-kills-") as temporary:
         folder = options.keep or temporary
         os.makedirs(folder, exist_ok=True)
-        sockets = Sockets()
+        sockets = CallerSockets()
         player = Player(day(options.kills, options.proxies, options.rate, options.seed, options.way), folder=folder)
-        player.observer = sockets.saw
+        player.observer = sockets.record_message
         import asyncio
 
         rule_breaks = asyncio.run(player.play())
--- a/bench/profile.py
+++ b/bench/profile.py
@@ -7,7 +7,7 @@
 import tempfile
 import time
 
-from bench.calls import settings, spawn
+from bench.calls import spawn, write_settings
 from thorndale.standins.ports import reserve_port
 
 PACKAGES = (
@@ -35,7 +35,7 @@
         server_port, port = reserve_port(), reserve_port()
         server = spawn("box", "udp", server_port, 0, options.calls / options.rate + 60)
         server.stdout.readline()
-        path = settings(folder, port, server_port, "udp", 5)
+        path = write_settings(folder, port, server_port, "udp", 5)
         proxy = subprocess.Popen(
             [sys.executable, "-m", "cProfile", "-o", f"{folder}/profile", "-m", "thorndale", "run", path]
         )
--- a/bench/rules.py
+++ b/bench/rules.py
@@ -11,7 +11,7 @@
 import tempfile
 import time
 
-from bench.calls import cpu, settings, spawn, start_proxy
+from bench.calls import cpu_seconds, spawn, start_proxy, write_settings
 from thorndale.match import parse
 from thorndale.match.facts import Facts
 from thorndale.match.rules import ANY_NAMES, RuleSet, check_rules, interpret_rules
@@ -78,7 +78,7 @@
 def measure_proxy(count, folder):
     """Measures the proxy's CPU time per call, and how many calls it sets up, with this many rules."""
     server_port, port = reserve_port(), reserve_port()
-    path = settings(folder, port, server_port, "udp", 5)
+    path = write_settings(folder, port, server_port, "udp", 5)
     with open(path, encoding="utf-8") as file:
         proxy_settings = json.load(file)
     proxy_settings["matching"] = {"file": f"{count}.rules"}
@@ -91,11 +91,11 @@
     proxy = start_proxy(path, port, 120)
     try:
         time.sleep(1)
-        cpu_before = cpu(proxy.pid)
+        cpu_before = cpu_seconds(proxy.pid)
         caller = spawn("caller", "udp", port, CALLS_PER_S, CALLS_PER_S * SECONDS, "end", "x")
         result = json.loads(caller.stdout.readline())
         caller.wait()
-        cpu_us = (cpu(proxy.pid) - cpu_before) / (CALLS_PER_S * SECONDS) * 1e6
+        cpu_us = (cpu_seconds(proxy.pid) - cpu_before) / (CALLS_PER_S * SECONDS) * 1e6
         return {
             "rules": count,
             "stood": result["stood"],
--- a/bench/scale/callpath.py
+++ b/bench/scale/callpath.py
@@ -27,7 +27,7 @@
 
 def write_settings(folder, port, server_port, fleet):
     """Writes the proxy's settings file: the settings of `bench.calls` with the fleet added. Returns its path."""
-    path = calls.settings(folder, port, server_port, "udp", 1)
+    path = calls.write_settings(folder, port, server_port, "udp", 1)
     with open(path, encoding="utf-8") as file:
         content = json.load(file)
     content |= {"name": "proxy0", "instances": max(1, len(fleet))}
@@ -76,13 +76,13 @@
     proxy = calls.start_proxy(write_settings(folder, port, server_port, fleet), port, 60)
     try:
         time.sleep(SETTLE_S)
-        cpu_before, started_at = calls.cpu(proxy.pid), time.monotonic()
+        cpu_before, started_at = calls.cpu_seconds(proxy.pid), time.monotonic()
         time.sleep(IDLE_S)
-        idle_share = (calls.cpu(proxy.pid) - cpu_before) / (time.monotonic() - started_at)
-        memory = calls.rss(proxy.pid)
-        cpu_before, started_at = calls.cpu(proxy.pid), time.monotonic()
+        idle_share = (calls.cpu_seconds(proxy.pid) - cpu_before) / (time.monotonic() - started_at)
+        memory = calls.resident_bytes(proxy.pid)
+        cpu_before, started_at = calls.cpu_seconds(proxy.pid), time.monotonic()
         result = offer_calls(port)
-        cpu_s, seconds = calls.cpu(proxy.pid) - cpu_before, time.monotonic() - started_at
+        cpu_s, seconds = calls.cpu_seconds(proxy.pid) - cpu_before, time.monotonic() - started_at
         proxy.terminate()
         proxy.wait(20)
     finally:
--- a/bench/scale/configuration.py
+++ b/bench/scale/configuration.py
@@ -97,12 +97,12 @@
         proxies.wait_for_event("pid", 1, START_TIMEOUT_S)
         rows = []
         for edition in range(1, ROUNDS + 1):
-            cpu_before = [calls.cpu(p.pid) for p in proxies.processes]
+            cpu_before = [calls.cpu_seconds(p.pid) for p in proxies.processes]
             started_at = time.monotonic()
             operator_s = proxies.publish(edition)
             proxies.wait_for_event("rules in force", edition, CHANGE_TIMEOUT_S)
             in_force_s = time.monotonic() - started_at
-            cpu_s = sum(calls.cpu(p.pid) for p in proxies.processes) - sum(cpu_before)
+            cpu_s = sum(calls.cpu_seconds(p.pid) for p in proxies.processes) - sum(cpu_before)
             rows.append((in_force_s, operator_s, cpu_s / count))
             time.sleep(0.3)
     in_force, operator, processor = (sorted(column)[len(column) // 2] for column in zip(*rows, strict=True))
--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -35,8 +35,8 @@
         pid = self.processes["proxy1"].pid
         self.process_sample = {
             "descriptors": len(os.listdir(f"/proc/{pid}/fd")),
-            "memory_mb": round(calls.rss(pid) / 1e6, 1),
-            "core": round(calls.cpu(pid) / SAMPLE_AT_S, 4),
+            "memory_mb": round(calls.resident_bytes(pid) / 1e6, 1),
+            "core": round(calls.cpu_seconds(pid) / SAMPLE_AT_S, 4),
         }
 
 
--- a/tests/standins/test_kills.py
+++ b/tests/standins/test_kills.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-from bench.kills import Sockets, compare, day
+from bench.kills import CallerSockets, compare, day
 from thorndale.standins.day import Player
 
 
 def test_each_call_that_was_answered_has_one_record_through_kills(tmp_path):
-    sockets, player = Sockets(), Player(day(4, 2, 80, 5, "written"), folder=str(tmp_path))
-    player.observer = sockets.saw
+    sockets, player = CallerSockets(), Player(day(4, 2, 80, 5, "written"), folder=str(tmp_path))
+    player.observer = sockets.record_message
     breaks = asyncio.run(player.play())
     found, examples = compare(sockets, [f"{tmp_path}/proxy{n}.records" for n in (1, 2)], str(tmp_path))
     assert not breaks
